--- a/stagevale/membership/__init__.py
+++ b/stagevale/membership/__init__.py
@@ -7,10 +7,10 @@
 from stagevale.membership import clocks
 from stagevale.membership.state import (COMPLETE, COUNTED, DOWN, EXITING, JOINING, LEADING, LEAVING,
                                         REMOVED, STATE_NAMES, UP, GossipState, Member, fromMessage, merged, sortKey)
-from stagevale.membership.suspicion import THRESHOLD, Suspicion
+from stagevale.membership.suspicion import Suspicion
 
-ROW = struct.Struct("!IHB")
 DATAGRAM_BYTES = 60000
+KEPT_CLOCKS = 24
 FAR_TELLERS = 24.0
 GONE_SHARE = 8.0
 
@@ -20,7 +20,8 @@
 
     __slots__ = ("context", "me", "state", "rows", "heartbeat", "suspicions", "unreachable", "observed", "transport",
                  "changeHooks", "contacts", "intervalMs", "timer", "placer", "epoch", "epochHook",
-                 "startedMs", "keys", "downSinceMs", "written", "packed", "packedOf")
+                 "startedMs", "keys", "downSinceMs", "written", "packed", "packedOf", "past",
+                 "wholeMs")
 
     def __init__(self, context, address, program, front=""):
         settings = context.settings
@@ -28,7 +29,9 @@
         self.me = Member(address, context.random.getrandbits(31), 0, JOINING, program,
                          settings.area, settings.region, front)
         self.written = 1 + context.random.getrandbits(20)
+        self.me.dot = [address, self.written]
         self.state = GossipState({address: self.written}, {address: self.me}, 0, {}, ())
+        self.past = {self.state.mark: self.state.counted()}
         self.rows = {}
         self.heartbeat = 0
         self.suspicions = {}
@@ -45,8 +48,9 @@
         self.startedMs = context.nowMs()
         self.keys = {self.me.key: self.me}
         self.downSinceMs = {}
-        self.packed = b""
+        self.packed = {}
         self.packedOf = None
+        self.wholeMs = {}
 
     def start(self):
         """Binds the gossip port and begins to gossip."""
@@ -131,11 +135,13 @@
 
     def suspect(self, nowMs):
         unreachable = set()
-        for member in self.others():
+        for member in self.state.counting():
+            if member.address == self.me.address:
+                continue
             suspicion = self.suspicions.get(member.address)
             if suspicion is None:
                 self.suspicions[member.address] = Suspicion(nowMs, self.expectedMs(member))
-            elif suspicion.phi(nowMs) > THRESHOLD:
+            elif suspicion.suspected(nowMs):
                 unreachable.add(member.address)
         unreachable = frozenset(unreachable)
         if unreachable != self.unreachable:
@@ -172,6 +178,10 @@
     def put(self, state):
         before = self.state
         self.state = state
+        self.past.pop(state.mark, None)
+        self.past[state.mark] = state.counted()
+        while len(self.past) > KEPT_CLOCKS:
+            del self.past[next(iter(self.past))]
         self.keys = {member.key: member for member in state.members.values()}
         for address, member in state.members.items():
             known = before.members.get(address)
@@ -216,7 +226,8 @@
         if changed:
             pruned = {address: counter for address, counter in self.state.clock.items()
                       if address in members and members[address].state != REMOVED}
-            base = GossipState(pruned, self.state.members, self.state.tableEpoch, self.state.table, self.state.moves)
+            base = GossipState(pruned, self.state.members, self.state.tableEpoch, self.state.table, self.state.moves,
+                               self.state.tableDots)
             self.make(base.changed(self.me.address, members=members, tableEpoch=tableEpoch, table=table, moves=moves))
 
     def gone(self, member, nowMs):
@@ -303,49 +314,84 @@
             unknown = [address for address in self.contacts
                        if address not in self.state.members and address != self.me.address]
             for address in unknown:
-                self.sendTo(address, wire.pack([wire.STATE, self.me.address, self.packedState()]))
+                self.sendState(address)
 
     def farShare(self, live):
         """How often a proxy's round goes beyond its own area: in a large fleet the far talk of all proxies together
         stays what a dozen of them have, and the core carries their heartbeats on."""
         return FAR_TELLERS / max(FAR_TELLERS, sum(1 for member in live if not member.core) + 1.0)
 
-    def overview(self, whole=False):
-        """Heartbeats and versions of all members; the own clock goes along only where versions differ.
+    def overview(self, withClock=False):
+        """Heartbeats and versions of all members; the own clock goes along only where it was asked for.
 
         Where every member's row is known and all have seen this state, the rows are bare heartbeats in sorted order:
         whoever has this state knows which is whose.
         """
-        counted = [member for member in self.state.sorted() if member.state in COUNTED]
-        rows, marks, beats = [], [self.state.mark], []
-        for member in counted:
-            uid, heartbeat, mark = ((self.me.uid, self.heartbeat, self.state.mark)
-                                    if member.address == self.me.address
-                                    else self.rows.get(member.address, (None, 0, 0)))
-            if uid == member.uid:
-                if mark not in marks:
-                    marks.append(mark)
-                rows.append(ROW.pack(member.key, heartbeat & 0xFFFF, min(marks.index(mark), 255)))
-                beats.append(heartbeat & 0xFFFF)
-        whole = whole or len(marks) > 1 or len(rows) < len(counted)
-        clock = wire.squeeze(b"".join(wire.packAddress(address) + struct.pack("!I", counter)
-                                      for address, counter in self.state.clock.items())) if whole else b""
-        told = b"".join(rows) if whole else struct.pack(f"!{len(beats)}H", *beats)
+        rows, mine, me = self.rows, self.state.mark, self.me.address
+        keys, beats, seenMarks = [], [], []
+        counting = self.state.counting()
+        for member in counting:
+            known = rows.get(member.address)
+            if member.address == me:
+                known = (self.me.uid, self.heartbeat, mine)
+            if known is not None and known[0] == member.uid:
+                keys.append(member.key)
+                beats.append(known[1] & 0xFFFF)
+                seenMarks.append(known[2])
+        keyed = withClock or len(keys) < len(counting) or seenMarks.count(mine) < len(seenMarks)
+        marks = [mine]
+        told = struct.pack(f"!{len(beats)}H", *beats)
+        if keyed:
+            marks += [mark for mark in dict.fromkeys(seenMarks) if mark != mine][:254]
+            place = {mark: at for at, mark in enumerate(marks)}
+            told += struct.pack(f"!{len(keys)}I", *keys) + bytes(place.get(mark, 255) for mark in seenMarks)
         seen = [[self.me.address, self.heartbeat, sorted(self.unreachable)]] if self.unreachable else []
         for observer, (heartbeat, addresses) in self.observed.items():
             member = self.state.members.get(observer)
             if addresses and member is not None and member.core and observer not in self.unreachable:
                 seen.append([observer, heartbeat, sorted(addresses)])
-        return wire.pack([wire.OVERVIEW, self.me.address, clock, struct.pack(f"!{len(marks)}I", *marks),
-                          told, seen, self.epoch])
+        return wire.pack([wire.OVERVIEW, self.me.address, self.clockBytes() if withClock else b"",
+                          struct.pack(f"!{len(marks)}I", *marks), told, json.dumps(seen) if seen else "",
+                          self.epoch, int(keyed)])
+
+    def clockBytes(self):
+        return wire.squeeze(b"".join(wire.packAddress(address) + struct.pack("!I", counter)
+                                     for address, counter in self.state.counted().items()))
+
+    def readClock(self, clockBytes):
+        clock = {}
+        clockBytes = wire.unsqueeze(clockBytes)
+        for at in range(0, len(clockBytes) - 9, 10):
+            clock[wire.unpackAddress(clockBytes[at:at + 6])] = struct.unpack_from("!I", clockBytes, at + 6)[0]
+        return clock
 
-    def packedState(self):
-        """The state for a message: JSON inside the flexbuffer, since many states go about while a fleet changes and the
-        library for flexbuffers is slow; packed once for each state."""
+    def packedState(self, base=None, baseMark=0):
+        """The state for a message, whole or what the holder of a clock lacks: JSON inside the flexbuffer, since many
+        states go about while a fleet changes and the library for flexbuffers is slow; packed once for all who are at the
+        same mark."""
         if self.packedOf is not self.state:
             self.packedOf = self.state
-            self.packed = wire.squeeze(json.dumps(self.state.message(), separators=(",", ":")).encode())
-        return self.packed
+            self.packed = {}
+        packed = self.packed.get(baseMark)
+        if packed is None:
+            message = self.state.message(base)
+            packed = b"" if base and not (message[0] or message[1] or message[5]) else wire.squeeze(
+                json.dumps(message, separators=(",", ":")).encode())
+            self.packed[baseMark] = packed
+        return packed
+
+    def sendState(self, address, base=None, baseMark=0):
+        """Sends the state: what the holder of the clock `base`, known to it by `baseMark`, lacks. The whole goes to one
+        without a base, and where the clocks say that nothing is lacking though the marks differ; but once a round."""
+        packed = self.packedState(base, baseMark)
+        if not base or not packed:
+            nowMs = self.context.nowMs()
+            self.wholeMs = {to: ms for to, ms in self.wholeMs.items() if nowMs - ms < self.intervalMs * 0.4}
+            if address in self.wholeMs:
+                return
+            self.wholeMs[address] = nowMs
+            packed, baseMark = self.packedState(), 0
+        self.sendTo(address, wire.pack([wire.STATE, self.me.address, packed, self.state.mark, baseMark]))
 
     def sendTo(self, address, data):
         if self.transport is not None and len(data) <= DATAGRAM_BYTES:
@@ -360,29 +406,32 @@
             if kind == wire.OVERVIEW:
                 self.heardOverview(sender, message)
             elif kind == wire.STATE:
-                self.heardState(sender, fromMessage(json.loads(wire.unsqueeze(message[2]))))
+                self.arrivedState(sender, *message[2:])
             elif kind == wire.STATE_WANTED:
-                self.sendTo(sender, wire.pack([wire.STATE, self.me.address, self.packedState()]))
+                self.wanted(sender, *message[2:])
         except Exception as problem:
             self.context.log.warning("membership: unreadable gossip from %s: %r.", peer, problem)
 
     def heardOverview(self, sender, message):
-        _, _, clockBytes, markBytes, rowBytes, seen, epoch = message
+        _, _, clockBytes, markBytes, rowBytes, seen, epoch, keyed = message
         nowMs = self.context.nowMs()
         marks = struct.unpack(f"!{len(markBytes) // 4}I", markBytes)
-        for key, heartbeat, markAt in self.rowsOf(rowBytes, marks, bool(clockBytes)):
-            member = self.keys.get(key)
-            if member is None or member.address == self.me.address or markAt >= len(marks):
-                continue
+        rows, suspicions, me = self.rows, self.suspicions, self.me.address
+        for member, heartbeat, mark in self.rowsOf(rowBytes, marks, keyed):
             address = member.address
-            known = self.rows.get(address)
-            if known is None or known[0] != member.uid:
-                self.suspicions[address] = Suspicion(nowMs, self.expectedMs(member))
-            elif not 0 < (heartbeat - known[1]) & 0xFFFF < 0x8000:
+            known = rows.get(address)
+            if known is not None and known[0] == member.uid:
+                if not 0 < (heartbeat - known[1]) & 0xFFFF < 0x8000:
+                    continue
+                suspicion = suspicions.get(address)
+                if suspicion is not None:
+                    suspicion.heard(nowMs)
+            elif address == me:
                 continue
-            elif address in self.suspicions:
-                self.suspicions[address].heard(nowMs)
-            self.rows[address] = (member.uid, heartbeat, marks[markAt])
+            else:
+                suspicions[address] = Suspicion(nowMs, self.expectedMs(member))
+            rows[address] = (member.uid, heartbeat, mark)
+        seen = json.loads(seen) if seen else ()
         for observer, heartbeat, addresses in seen:
             known = self.observed.get(observer)
             if known is None or heartbeat > known[0] or heartbeat < known[0] - 10:
@@ -393,34 +442,57 @@
             self.epochHook(sender, epoch)
         if marks[0] == self.state.mark:
             return
-        if not clockBytes:
+        if clockBytes:
+            theirs = self.readClock(clockBytes)
+            if clocks.compare(self.state.clock, theirs, self.state.removed()) == clocks.NEWER:
+                self.sendTo(sender, wire.pack([wire.STATE_WANTED, self.me.address, self.state.mark, self.clockBytes()]))
+            else:
+                self.sendState(sender, theirs, marks[0])
+        elif marks[0] in self.past:
+            self.sendState(sender, self.past[marks[0]], marks[0])
+        else:
+            self.sendTo(sender, wire.pack([wire.STATE_WANTED, self.me.address, self.state.mark, b""]))
+
+    def wanted(self, sender, mark, clockBytes):
+        """Another lacks what is here: it gets that, or where its mark says nothing here, the question for its clock."""
+        if mark == self.state.mark:
+            return
+        base = self.readClock(clockBytes) if clockBytes else self.past.get(mark)
+        if base is not None:
+            self.sendState(sender, base, mark)
+        else:
             self.sendTo(sender, self.overview(True))
+
+    def arrivedState(self, sender, packed, mark, baseMark):
+        """A state, whole or on top of a base; on top of a base that this life never held it can't be used."""
+        if mark == self.state.mark:
             return
-        theirs = {}
-        clockBytes = wire.unsqueeze(clockBytes)
-        for at in range(0, len(clockBytes) - 9, 10):
-            theirs[wire.unpackAddress(clockBytes[at:at + 6])] = struct.unpack_from("!I", clockBytes, at + 6)[0]
-        relation = clocks.compare(self.state.clock, theirs, self.state.removed())
-        if relation != clocks.NEWER:
-            self.sendTo(sender, wire.pack([wire.STATE, self.me.address, self.packedState()]))
-        if relation in (clocks.NEWER, clocks.APART):
-            self.sendTo(sender, wire.pack([wire.STATE_WANTED, self.me.address]))
-
-    def rowsOf(self, rowBytes, marks, whole):
-        """The rows of an overview: (member's key, heartbeat, which mark)."""
-        if whole:
-            return ROW.iter_unpack(rowBytes)
-        if marks[0] != self.state.mark:
-            return ()
-        counted = [member.key for member in self.state.sorted() if member.state in COUNTED]
-        beats = struct.unpack(f"!{len(rowBytes) // 2}H", rowBytes)
-        return [(key, beat, 0) for key, beat in zip(counted, beats)] if len(counted) == len(beats) else ()
-
-    def heardState(self, sender, theirs):
-        """Takes in another's state: both are joined, and the sender gets what it lacks."""
-        if theirs.mark == self.state.mark:
+        if baseMark and baseMark not in self.past:
+            self.sendTo(sender, self.overview(True))
+            return
+        theirs = fromMessage(json.loads(wire.unsqueeze(packed)))
+        self.heardState(sender, theirs, mark, self.past[baseMark] if baseMark else {})
+
+    def rowsOf(self, rowBytes, marks, keyed):
+        """The rows of an overview: (member, heartbeat, its mark)."""
+        if not keyed:
+            counting = self.state.counting()
+            if marks[0] != self.state.mark or len(rowBytes) != 2 * len(counting):
+                return ()
+            return zip(counting, struct.unpack(f"!{len(counting)}H", rowBytes), [marks[0]] * len(counting))
+        count = len(rowBytes) // 7
+        beats = struct.unpack_from(f"!{count}H", rowBytes)
+        keys = struct.unpack_from(f"!{count}I", rowBytes, 2 * count)
+        known = self.keys
+        return [(known[key], beat, marks[at]) for key, beat, at in zip(keys, beats, rowBytes[6 * count:])
+                if key in known and at < len(marks)]
+
+    def heardState(self, sender, theirs, mark=None, base=None):
+        """Takes in another's state, given on top of `base`: both are joined, and the sender gets what it lacks."""
+        mark = theirs.mark if mark is None else mark
+        if mark == self.state.mark:
             return
         self.put(merged(self.state, theirs))
         self.ensureSelf()
-        if self.state.mark != theirs.mark:
-            self.sendTo(sender, wire.pack([wire.STATE, self.me.address, self.packedState()]))
+        if self.state.mark != mark:
+            self.sendState(sender, clocks.joined(base, theirs.clock) if base else None, mark if base else 0)
--- a/stagevale/membership/clocks.py
+++ b/stagevale/membership/clocks.py
@@ -36,5 +36,18 @@
 
 def mark(clock, ignored=()):
     """A short number that is equal for equal clocks, for the overview's rows."""
-    text = ",".join(f"{address}={clock[address]}" for address in sorted(clock) if address not in ignored)
-    return zlib.crc32(text.encode())
+    total = 0
+    for address, counter in clock.items():
+        if address not in ignored:
+            total += zlib.crc32(f"{address}={counter}".encode())
+    return total & 0xFFFFFFFF
+
+
+def covers(clock, dot):
+    """True where whoever has this clock has taken in the change (changer, counter)."""
+    return dot is not None and clock.get(dot[0], 0) >= dot[1]
+
+
+def ahead(mine, theirs):
+    """The entries of `mine` that `theirs` lacks."""
+    return {address: counter for address, counter in mine.items() if counter > theirs.get(address, 0)}
--- a/stagevale/membership/state.py
+++ b/stagevale/membership/state.py
@@ -1,4 +1,5 @@
 """The gossip state: members and their states, the placement table, pending moves."""
+import functools
 import zlib
 
 from stagevale.membership import clocks
@@ -13,9 +14,9 @@
 class Member:
     """One daemon as the gossip state knows it. Immutable by custom."""
 
-    __slots__ = ("address", "uid", "generation", "state", "program", "area", "region", "front", "key")
+    __slots__ = ("address", "uid", "generation", "state", "program", "area", "region", "front", "key", "dot")
 
-    def __init__(self, address, uid, generation, state, program, area, region, front):
+    def __init__(self, address, uid, generation, state, program, area, region, front, dot=None):
         self.address = address
         self.uid = uid
         self.generation = generation
@@ -25,9 +26,11 @@
         self.region = region
         self.front = front
         self.key = zlib.crc32(f"{address} {uid}".encode())
+        self.dot = dot
 
     def fields(self):
-        return [self.address, self.uid, self.generation, self.state, self.program, self.area, self.region, self.front]
+        return [self.address, self.uid, self.generation, self.state, self.program, self.area, self.region, self.front,
+                self.dot]
 
     def at(self, state):
         """The same life in another state."""
@@ -63,6 +66,7 @@
         return self.part, self.giver, self.taker
 
 
+@functools.lru_cache(maxsize=16384)
 def sortKey(address):
     """Orders addresses by number, as the leader's order wants it."""
     ip, _, port = address.rpartition(":")
@@ -70,47 +74,87 @@
 
 
 class GossipState:
-    """What all members are to agree on. Immutable by custom: every change makes a new one."""
+    """What all members are to agree on. Immutable by custom: every change makes a new one.
 
-    __slots__ = ("clock", "members", "tableEpoch", "table", "moves", "mark", "inOrder")
+    Each member's row bears the dot (changer, counter) of the change that wrote it, the table and the moves bear the
+    dots of theirs: whoever has a clock that covers a dot has what it wrote, so only the rest need be sent.
+    """
 
-    def __init__(self, clock, members, tableEpoch, table, moves):
+    __slots__ = ("clock", "members", "tableEpoch", "table", "moves", "tableDots", "mark", "inOrder", "inCount")
+
+    def __init__(self, clock, members, tableEpoch, table, moves, tableDots=()):
         self.clock = clock
         self.members = members
         self.tableEpoch = tableEpoch
         self.table = table
         self.moves = moves
+        self.tableDots = tableDots
         self.mark = clocks.mark(clock, self.removed())
         self.inOrder = None
+        self.inCount = None
 
     def removed(self):
         return {address for address, member in self.members.items() if member.state == REMOVED}
 
+    def counted(self):
+        """The clock without the counters of removed members, which compare as nothing."""
+        removed = self.removed()
+        return {address: counter for address, counter in self.clock.items() if address not in removed}
+
     def sorted(self):
         """Members in sorted order of their addresses."""
         if self.inOrder is None:
             self.inOrder = tuple(self.members[address] for address in sorted(self.members, key=sortKey))
         return self.inOrder
 
+    def counting(self):
+        """Members that count for convergence, in sorted order."""
+        if self.inCount is None:
+            self.inCount = tuple(member for member in self.sorted() if member.state in COUNTED)
+        return self.inCount
+
     def changed(self, by, members=None, tableEpoch=None, table=None, moves=None):
-        """This state after a change made by `by`."""
-        return GossipState(clocks.raised(self.clock, by),
-                           self.members if members is None else members,
+        """This state after a change made by `by`; what it writes bears the change's dot."""
+        clock = clocks.raised(self.clock, by)
+        dot = [by, clock[by]]
+        if members is None:
+            members = self.members
+        for member in members.values():
+            if member.dot is None:
+                member.dot = dot
+        tableDots = self.tableDots
+        if tableEpoch is not None and tableEpoch != self.tableEpoch:
+            tableDots = (dot,)
+        elif moves is not None and moves is not self.moves:
+            tableDots = latest(tableDots + (dot,))
+        return GossipState(clock, members,
                            self.tableEpoch if tableEpoch is None else tableEpoch,
                            self.table if table is None else table,
-                           self.moves if moves is None else moves)
+                           self.moves if moves is None else moves, tableDots)
 
-    def message(self):
-        return [[[address, counter] for address, counter in self.clock.items()],
-                [member.fields() for member in self.members.values()],
-                self.tableEpoch,
-                [[part, list(group)] for part, group in self.table.items()],
-                [move.fields() for move in self.moves]]
+    def message(self, base=None):
+        """The state for a message: whole, or what whoever has the clock `base` lacks."""
+        base = base or {}
+        told = any(not clocks.covers(base, dot) for dot in self.tableDots)
+        return [[[address, counter] for address, counter in clocks.ahead(self.counted(), base).items()],
+                [member.fields() for member in self.members.values() if not clocks.covers(base, member.dot)],
+                self.tableEpoch if told else 0,
+                [[part, list(group)] for part, group in self.table.items()] if told else [],
+                [move.fields() for move in self.moves] if told else [],
+                list(self.tableDots) if told else []]
+
+
+def latest(dots):
+    """The last dot of each changer: who covers it covers the earlier ones."""
+    last = {}
+    for changer, counter in dots:
+        last[changer] = max(counter, last.get(changer, 0))
+    return tuple([changer, counter] for changer, counter in last.items())
 
 
 def fromMessage(body):
     """A gossip state out of a message; a misshapen one raises ValueError or its kin."""
-    clockRows, memberRows, tableEpoch, tableRows, moveRows = body
+    clockRows, memberRows, tableEpoch, tableRows, moveRows, tableDots = body
     members = {}
     for row in memberRows:
         member = Member(*row)
@@ -120,11 +164,14 @@
         members[member.address] = member
     return GossipState({address: int(counter) for address, counter in clockRows}, members, int(tableEpoch),
                        {part: tuple(group) for part, group in tableRows},
-                       tuple(Move(*row) for row in moveRows))
+                       tuple(Move(*row) for row in moveRows), tuple(tableDots))
 
 
 def merged(mine, theirs):
-    """Both states in one: per member the later life and state, the later table, completed moves kept."""
+    """Both states in one: per member the later life and state, the later table, completed moves kept.
+
+    `theirs` may hold only what the holder of a clock that is not after `mine` lacked: the rest is in `mine` already.
+    """
     members = dict(mine.members)
     for address, member in theirs.members.items():
         known = members.get(address)
@@ -136,4 +183,4 @@
         if move.key() in moves and move.status == COMPLETE:
             moves[move.key()] = move
     return GossipState(clocks.joined(mine.clock, theirs.clock), members, later.tableEpoch, later.table,
-                       tuple(moves[key] for key in sorted(moves)))
+                       tuple(moves[key] for key in sorted(moves)), latest(mine.tableDots + theirs.tableDots))
--- a/stagevale/membership/suspicion.py
+++ b/stagevale/membership/suspicion.py
@@ -5,32 +5,72 @@
 KEPT_GAPS = 24
 
 
+def chanceAfter(y):
+    """The chance that a silence of `y` deviations over the mean still ends, by the logistic approximation."""
+    exponent = -y * (1.5976 + 0.070566 * y * y)
+    if exponent < -700:
+        return 0.0
+    e = math.exp(exponent)
+    return e / (1.0 + e) if y > 0 else 1.0 - 1.0 / (1.0 + e)
+
+
+def deviationsAt(threshold):
+    """How many deviations over the mean a silence lasts when the suspicion level reaches `threshold`."""
+    low, high = 0.0, 60.0
+    for _ in range(60):
+        middle = (low + high) / 2.0
+        if chanceAfter(middle) > 10.0 ** -threshold:
+            low = middle
+        else:
+            high = middle
+    return high
+
+
+LIMIT_DEVIATIONS = deviationsAt(THRESHOLD)
+
+
 class Suspicion:
-    """Arrival history of one member's heartbeats."""
+    """Arrival history of one member's heartbeats, with its sums kept up so that a look costs nothing while it speaks."""
 
-    __slots__ = ("lastMs", "gaps", "leastDeviationMs")
+    __slots__ = ("lastMs", "gaps", "total", "squares", "leastDeviationMs", "limitMs")
 
     def __init__(self, nowMs, expectedMs):
         self.lastMs = nowMs
         self.gaps = [expectedMs, expectedMs * 1.5]
+        self.total = expectedMs * 2.5
+        self.squares = expectedMs * expectedMs * 3.25
         self.leastDeviationMs = expectedMs * 0.4
+        self.limitMs = None
 
     def heard(self, nowMs):
         """Notes that the member's heartbeat has advanced."""
-        self.gaps.append(min(nowMs - self.lastMs, self.gaps[0] * 3))
-        if len(self.gaps) > KEPT_GAPS:
-            del self.gaps[1]
+        gaps = self.gaps
+        gap = min(nowMs - self.lastMs, gaps[0] * 3)
+        gaps.append(gap)
+        self.total += gap
+        self.squares += gap * gap
+        if len(gaps) > KEPT_GAPS:
+            oldest = gaps.pop(1)
+            self.total -= oldest
+            self.squares -= oldest * oldest
         self.lastMs = nowMs
+        self.limitMs = None
+
+    def deviationMs(self, mean):
+        variance = max(0.0, self.squares / len(self.gaps) - mean * mean)
+        return max(math.sqrt(variance), self.leastDeviationMs)
+
+    def suspected(self, nowMs):
+        """True once the suspicion level is over the threshold."""
+        silentMs = nowMs - self.lastMs
+        if self.limitMs is None:
+            mean = self.total / len(self.gaps)
+            if silentMs <= mean:
+                return False
+            self.limitMs = mean + LIMIT_DEVIATIONS * self.deviationMs(mean)
+        return silentMs > self.limitMs
 
     def phi(self, nowMs):
         """The suspicion level now."""
-        mean = sum(self.gaps) / len(self.gaps)
-        variance = sum((gap - mean) ** 2 for gap in self.gaps) / len(self.gaps)
-        deviation = max(math.sqrt(variance), self.leastDeviationMs)
-        y = (nowMs - self.lastMs - mean) / deviation
-        exponent = -y * (1.5976 + 0.070566 * y * y)
-        if exponent < -700:
-            return 300.0
-        e = math.exp(exponent)
-        chance = e / (1.0 + e) if nowMs - self.lastMs > mean else 1.0 - 1.0 / (1.0 + e)
-        return -math.log10(max(chance, 1e-300))
+        mean = self.total / len(self.gaps)
+        return -math.log10(max(chanceAfter((nowMs - self.lastMs - mean) / self.deviationMs(mean)), 1e-300))
--- a/stagevale/wire/__init__.py
+++ b/stagevale/wire/__init__.py
@@ -6,6 +6,7 @@
 from flatbuffers import flexbuffers
 
 MAX_FRAME_BYTES = 32 * 1024 * 1024
+SQUEEZE_FROM_BYTES = 2000
 
 ANSWER = 0
 HELLO = 1
@@ -85,14 +86,18 @@
 
 
 def packRows(rows):
-    """Many rows as one field of a message: JSON, which reads a hundred times faster than rows of a flexbuffer."""
-    return json.dumps(rows, separators=(",", ":")).encode() if rows else b""
+    """Many rows as one field of a message: JSON, which reads a hundred times faster than rows of a flexbuffer; many
+    together are squeezed, since a proxy's link is narrow and each start of one brings it every endpoint."""
+    if not rows:
+        return b""
+    data = json.dumps(rows, separators=(",", ":")).encode()
+    return squeeze(data) if len(data) > SQUEEZE_FROM_BYTES else data
 
 
 def unpackRows(data):
     """The rows that `packRows` was given."""
     try:
-        return json.loads(data) if data else []
+        return json.loads(unsqueeze(data) if data[:1] == b"x" else data) if data else []
     except ValueError as problem:
         raise WireProblem("rows", "a colleague", repr(problem)) from None
 
