--- a/stagevale/balancing/__init__.py
+++ b/stagevale/balancing/__init__.py
@@ -1,4 +1,5 @@
 """Balancing: which endpoint a job goes to, and whether it may go to any."""
+import heapq
 import zlib
 
 from stagevale.registrations import READY
@@ -19,9 +20,9 @@
 
     __slots__ = ("id", "service", "address", "area", "region", "slots", "state", "sound", "coldSeq", "coldUntilMs",
                  "outstanding", "idle", "open", "speed", "others", "othersMs", "ejectUntilMs", "problems", "coldSent",
-                 "gone", "silentSinceMs", "answeredMs")
+                 "gone", "silentSinceMs", "answeredMs", "agreedOf", "agreed", "software")
 
-    def __init__(self, id, service, address, area, region, slots):
+    def __init__(self, id, service, address, area, region, slots, software=""):
         self.id = id
         self.service = service
         self.address = address
@@ -44,6 +45,9 @@
         self.gone = False
         self.silentSinceMs = 0.0
         self.answeredMs = 0.0
+        self.agreedOf = None
+        self.agreed = False
+        self.software = software
 
     def took(self, nowMs):
         """Counts a job that is given to the endpoint."""
@@ -85,7 +89,8 @@
 class Chooser:
     """Chooses among allowed endpoints by expected time, nearness and own outstanding jobs."""
 
-    __slots__ = ("context", "work", "address", "rttMs", "bytes", "meanBytes", "serviceWork", "policy")
+    __slots__ = ("context", "work", "address", "rttMs", "bytes", "meanBytes", "serviceWork", "policy", "lease",
+                 "steering")
 
     def __init__(self, context, address):
         self.context = context
@@ -96,6 +101,8 @@
         self.meanBytes = 2000.0
         self.serviceWork = {}
         self.policy = None
+        self.lease = None
+        self.steering = None
 
     def workMs(self, route):
         """What a job of this route takes at an endpoint of usual speed, as learned."""
@@ -148,12 +155,44 @@
         return len(target.coldSent) < share
 
     def agreed(self, target, digest):
-        ranked = sorted(digest.proxies, key=lambda proxy: (proxy[1] != target.area, proxy[2] != target.region,
-                                                           zlib.crc32(f"{target.id} {proxy[0]}".encode())))
-        return any(proxy[0] == self.address for proxy in ranked[:COLD_PROXIES])
+        """True where this proxy is among the few that use the endpoint while it is cold; looked up once for each set of
+        proxies, since a large fleet would be sorted for each cold endpoint at each request."""
+        if target.agreedOf is not digest.proxies:
+            target.agreedOf = digest.proxies
+            ranked = heapq.nsmallest(COLD_PROXIES, digest.proxies, key=lambda proxy: (
+                proxy[1] != target.area, proxy[2] != target.region, zlib.crc32(f"{target.id} {proxy[0]}".encode())))
+            target.agreed = any(proxy[0] == self.address for proxy in ranked)
+        return target.agreed
 
     def choose(self, job, digest, nowMs):
-        """The target for a job, or None; sets how long the best would take in `job.expectedMs`."""
+        """The target for a job, or None; sets how long the best would take in `job.expectedMs`. Under a rollout a job of
+        the new side that finds none there goes to the stable one."""
+        rollout = digest.rollouts.get(job.service) if digest.rollouts else None
+        if rollout is None:
+            return self.chooseAmong(digest.targets.get(job.service, ()), job, digest, nowMs)
+        targets = digest.targets.get(job.service, ())
+        if self.lease.holds(nowMs) and rollout.side(job.splitKey()):
+            target = self.chooseAmong([t for t in targets if rollout.allows(1, t.software)], job, digest, nowMs)
+            if target is not None:
+                return target
+        return self.chooseAmong([t for t in targets if rollout.allows(0, t.software)], job, digest, nowMs)
+
+    def mayUse(self, target, digest, nowMs):
+        """Looks again, at the moment of writing, whether a rollout lets this endpoint take anything."""
+        rollout = digest.rollouts.get(target.service) if digest.rollouts else None
+        return (rollout is None or rollout.allows(0, target.software)
+                or rollout.allows(1, target.software) and self.lease.holds(nowMs))
+
+    def steeredTo(self, job, targets, digest, work, bulk, nowMs):
+        """The region that this job is steered to, among those in which it may be served at all."""
+        regions = {target.region for target in targets
+                   if target.state == READY and not target.gone and target.sound and target.area not in digest.evacuated
+                   and not any(target.region not in homes for homes in job.homes)}
+        return self.steering.choose(job.service, regions, work, job.route.targetMs, bulk, job.route.pure, nowMs,
+                                    self.context.settings.bounds.contactMs / 80.0)
+
+    def chooseAmong(self, targets, job, digest, nowMs):
+        """The target with the least cost among these, or None."""
         route = job.route
         settings = self.context.settings
         work = self.workMs(route)
@@ -166,7 +205,8 @@
         best, bestCost = None, None
         job.expectedMs = None
         share = max(2, service.maxConns // (len(digest.proxies) + 2))
-        for target in digest.targets.get(job.service, ()):
+        steered = self.steeredTo(job, targets, digest, work, bulk, nowMs) if self.steering is not None else None
+        for target in targets:
             if (target.state != READY or target.gone or not target.sound or target.area in digest.evacuated
                     or target.id in job.tried or any(target.region not in homes for homes in job.homes)
                     or nowMs < target.ejectUntilMs):
@@ -179,16 +219,22 @@
             if nowMs < target.coldUntilMs and not self.mayUseCold(target, digest, service, nowMs):
                 continue
             ahead = max(0.0, load + 1 - target.slots) / target.slots
-            tookMs = target.speed * (work + mixed * ahead)
+            speed = target.speed
+            if steered is not None and target.answeredMs == 0.0:
+                speed = self.steering.slowness(job.service, target.region, nowMs)
+            tookMs = speed * (work + mixed * ahead)
             if nowMs < target.coldUntilMs:
                 tookMs *= 2.0
             cost = tookMs
             if target.region != settings.region:
                 rtt = self.rttMs.get(target.region, settings.bounds.contactMs / 80.0)
                 tookMs += rtt if target.idle else 2 * rtt
-                cost = tookMs + route.targetMs * REGION_COST * bulk
+                cost = tookMs + (route.targetMs * REGION_COST * bulk if steered is None
+                                 else self.steering.price_ms(target.region, route.targetMs, bulk))
             elif target.area != settings.area:
                 cost = tookMs + route.targetMs * AREA_COST * bulk
+            if steered is not None and target.region != steered:
+                cost += route.targetMs * REGION_COST
             if target.id == job.prefers:
                 cost *= KEEP_COST
             cost += SILENCE_COST * max(0.0, target.silentMs(nowMs) - SILENCE_EXPECTED * mixed * target.speed)
--- a/stagevale/balancing/digest.py
+++ b/stagevale/balancing/digest.py
@@ -79,10 +79,11 @@
 class Digest:
     """Immutable: a change makes another one."""
 
-    __slots__ = ("serial", "hosts", "services", "limits", "evacuated", "targets", "proxies", "keys", "partners", "sessions")
+    __slots__ = ("serial", "hosts", "services", "limits", "evacuated", "targets", "proxies", "keys", "partners", "sessions",
+                 "rollouts")
 
     def __init__(self, serial, hosts, services, limits, evacuated, targets, proxies, keys=None,
-                 partners=NO_TABLE, sessions=None):
+                 partners=NO_TABLE, sessions=None, rollouts=None):
         self.serial = serial
         self.hosts = hosts
         self.services = services
@@ -93,6 +94,7 @@
         self.keys = keys
         self.partners = partners
         self.sessions = sessions or {}
+        self.rollouts = rollouts or {}
 
     def route(self, host, path):
         """The route of this host with the longest prefix of the path, or None."""
@@ -124,8 +126,12 @@
 
     def withValue(self, value):
         """This digest with another epoch of the register's value."""
+        rollouts = None
+        if value.rollouts:
+            from stagevale.rollouts import read_rollouts
+            rollouts = read_rollouts(value.rollouts)
         if not value.config:
-            return self.with_(serial=value.serial, evacuated=frozenset(value.evacuated))
+            return self.with_(serial=value.serial, evacuated=frozenset(value.evacuated), rollouts=rollouts)
         table = json.loads(value.config)
         hosts = {}
         for row in table["routes"]:
@@ -136,7 +142,7 @@
         return Digest(value.serial, {host: tuple(rows) for host, rows in hosts.items()}, services,
                       Limits(table.get("limits") or {}), frozenset(value.evacuated), self.targets, self.proxies,
                       readKeys(table.get("tenants")),
-                      mergedTable(table, value.offers) if value.offers else NO_TABLE, value.sessions)
+                      mergedTable(table, value.offers) if value.offers else NO_TABLE, value.sessions, rollouts)
 
 
 def emptyDigest():
--- a/stagevale/commands.py
+++ b/stagevale/commands.py
@@ -317,6 +317,156 @@
     return 0 if answer["won"] else FINDINGS
 
 
+rollouts = App(name="rollouts", help="The stepwise shift of a service to a new version of its endpoints.")
+cli.command(rollouts)
+
+
+@rollouts.command(name="start")
+def start_rollout(service: str, file: str, *, control: list[str]):
+    """Start a rollout; exit 0 started, 1 refused, 2 misuse.
+
+    Parameters
+    ----------
+    service
+        the service whose requests shift.
+    file
+        the rollout, JSON with version, parentVersion, from, to, steps, failureShare, leastRequests, watchS.
+    control
+        ip:port of a registry's control; more than one are tried in turn.
+    """
+    from urllib.parse import quote
+    try:
+        with open(file, "rb") as handle:
+            body = handle.read()
+    except OSError as failure:
+        return misuse(f"rollouts start: {file} can't be read: {failure.strerror}")
+    outcome = askControls("rollouts start", control, f"/v1/rollouts/{quote(service, safe='')}", "PUT", body)
+    return orderOutcome("rollouts start", outcome, f"{service}: the rollout has started")
+
+
+@rollouts.command(name="show")
+def show_rollouts(service: str = "", *, control: list[str], json_: bool = False):
+    """Show the rollouts; exit 0 nothing to worry about, 1 fallen back, warned of or no answer, 2 misuse.
+
+    Parameters
+    ----------
+    service
+        only this service's rollout.
+    control
+        ip:port of a registry's control; more than one are tried in turn.
+    json_
+        print the answer as JSON.
+    """
+    from urllib.parse import quote
+    path = f"/v1/rollouts/{quote(service, safe='')}" if service else "/v1/rollouts"
+    address, status, answer = askControls("rollouts show", control, path)
+    if status != 200:
+        return orderOutcome("rollouts show", (address, status, answer), "")
+    rows = [answer] if service else answer["rollouts"]
+    worry = any(row["state"] == "fallen" or row["warnings"] for row in rows)
+    if json_:
+        print(json.dumps(answer, indent=1))
+        return FINDINGS if worry else 0
+    if not rows:
+        print("no rollouts")
+    for row in rows:
+        print(f"{row['service']} r{row['version']}: {row['from']} to {row['to']}, {row['shown']}, step {row['step'] + 1} of "
+              f"{len(row['steps'])}, share {row['share']:.0%}" + (f": {row['reason']}" if row["reason"] else ""))
+        if row["leasesLeftMs"]:
+            print(f"  leases on {row['to']} may stand for {row['leasesLeftMs']} ms yet")
+        for side in ("from", "to"):
+            sums, held = row["outcomes"][side], row["endpoints"].get(row[side], {"endpoints": 0, "slots": 0})
+            print(f"  {row[side]}: {sums['requests']} requests, {sums['failed']} failed, {sums['late']} late; "
+                  f"{held['endpoints']} endpoints, {held['slots']} slots")
+        for warning in row["warnings"]:
+            print(f"  warning: {warning}")
+    return FINDINGS if worry else 0
+
+
+def move_rollout(order, service, control, done):
+    from urllib.parse import quote
+    outcome = askControls(f"rollouts {order}", control, f"/v1/rollouts/{quote(service, safe='')}/{order}", "POST", None,
+                          15.0)
+    return orderOutcome(f"rollouts {order}", outcome, f"{service}: {done}")
+
+
+@rollouts.command
+def pause(service: str, *, control: list[str]):
+    """Keep a rollout at its step; exit 0 done, 1 refused, 2 misuse."""
+    return move_rollout("pause", service, control, "paused; its share stays")
+
+
+@rollouts.command
+def resume(service: str, *, control: list[str]):
+    """Let a paused rollout go on; exit 0 done, 1 refused, 2 misuse."""
+    return move_rollout("resume", service, control, "shifting")
+
+
+@rollouts.command
+def promote(service: str, *, control: list[str]):
+    """Give the new version everything at once; exit 0 done, 1 refused, 2 misuse."""
+    return move_rollout("promote", service, control, "everything goes to the new version")
+
+
+@rollouts.command
+def rollback(service: str, *, control: list[str]):
+    """Fall back; returns once no proxy may use the new version; exit 0 done, 1 refused, 2 misuse."""
+    return move_rollout("rollback", service, control, "fallen back on every node")
+
+
+@rollouts.command(name="end")
+def end_rollout(service: str, *, control: list[str]):
+    """End a rollout: back to the ordinary choice among all versions; exit 0 done, 1 refused, 2 misuse."""
+    from urllib.parse import quote
+    outcome = askControls("rollouts end", control, f"/v1/rollouts/{quote(service, safe='')}", "DELETE")
+    return orderOutcome("rollouts end", outcome, f"{service}: ended")
+
+
+@cli.command
+def delays(*, control: list[str], edge: str = "", region: str = "", json_: bool = False):
+    """Show for each edge and region the delay it expects beside what callers got; exit 0 shown, 1 nothing known, 2 misuse.
+
+    Parameters
+    ----------
+    control
+        ip:port of a registry's control; give every one, since each knows the edges that it feeds.
+    edge
+        only the edge with this address or front.
+    region
+        only answers from this region.
+    json_
+        print the rows as JSON.
+    """
+    from stagevale.doctoring import ask
+    from stagevale.settings import SettingsProblem, splitAddress
+    rows, faults = [], []
+    for address in control:
+        try:
+            splitAddress(address, "--control")
+        except SettingsProblem as failure:
+            return misuse(f"delays: {failure}")
+        status, stand = ask(address, "/v1/stand")
+        if status != 200 or not isinstance(stand, dict):
+            faults.append(f"{address}: no stand: {stand if status is None else status}")
+            continue
+        for proxy in stand["proxies"]:
+            if edge in ("", proxy["address"], proxy["front"]):
+                rows += [{"edge": proxy["address"], "zone": proxy["area"], **row} for row in proxy["delays"]
+                         if region in ("", row["region"])]
+    if json_:
+        print(json.dumps({"delays": rows, "faults": faults}, indent=1))
+    else:
+        for row in rows:
+            print(f"{row['edge']} in {row['zone']}, {row['service']} at {row['region']}: share {row['share']:.0%}, expected "
+                  f"{row['expectedMs']:.0f} ms, got {row['gotMs']:.0f} ms (median {row['medianMs']:.0f}, 95th "
+                  f"{row['p95Ms']:.0f}) in {row['count']} answers, last {row['ageMs'] / 1000:.1f} s ago")
+    for fault in faults:
+        sys.stderr.write(f"stagevale: delays: {fault}\n")
+    if not rows and not json_:
+        print("no edge has told delays: is steering on, and has traffic run?")
+    return 0 if rows and not faults else FINDINGS
+
+
 sessions = App(name="sessions", help="Session records.")
 cli.command(sessions)
 
--- a/stagevale/configuration/__init__.py
+++ b/stagevale/configuration/__init__.py
@@ -3,7 +3,8 @@
 
 from stagevale import wire
 from stagevale.ballots import NO_BALLOT, Round, asBallot, majority
-from stagevale.configuration.orders import OFFER, WITHDRAW, decide
+from stagevale.configuration.orders import (MOVE_ROLLOUT, OFFER, READ_ROLLOUTS, SERIAL, START_ROLLOUT, WITHDRAW,
+                                            decide)
 from stagevale.configuration.value import Value, readValue
 from stagevale.membership.state import JOINING, UP
 
@@ -40,7 +41,7 @@
                  "loaded", "dirty", "saving", "saveWaiters", "ballot", "chosen", "ownerBallot", "ownerHeardMs",
                  "electing", "queue", "busy", "unconfirmed", "seedStores", "life", "timer", "beatMs", "callMs",
                  "highestRound", "colleagues", "stopping", "triedGrowthMs", "goneSinceMs",
-                 "narrowedMs", "lostSinceMs", "settledNames", "settlePlanned")
+                 "narrowedMs", "lostSinceMs", "settledNames", "settlePlanned", "judge", "judging")
 
     def __init__(self, context, board, membership, disk):
         settings = context.settings
@@ -76,6 +77,8 @@
         self.lostSinceMs = {}
         self.settledNames = set()
         self.settlePlanned = False
+        self.judge = None
+        self.judging = False
         for kind, handler in ((wire.PREPARE, self.onPrepare), (wire.ACCEPT, self.onAccept),
                               (wire.CONFIRM, self.onConfirm), (wire.LEARN, self.onLearn),
                               (wire.BEACON, self.onBeacon), (wire.ORDER, self.onOrder), (wire.WHO_OWNS, self.onWhoOwns),
@@ -390,6 +393,8 @@
                         self.board.cast(member.address, self.kinds + wire.BEACON, [list(ballot), self.chosen.serial])
                 self.grow()
                 self.tendSessions()
+                self.judging = bool(getattr(self.chosen, "rollouts", None))
+                self.pump()
         self.confirm(confirmed)
 
     def audience(self):
@@ -622,7 +627,7 @@
 
     def pump(self):
         """Carries out the next order, if this store owns the duty and nothing else is under way."""
-        if self.busy or not self.queue:
+        if self.busy or self.judging and self.tendRollouts() or not self.queue:
             return
         if self.ballot is None:
             owner = self.owner()
@@ -643,23 +648,30 @@
         value = self.chosen
         if waiting.order == "value":
             self.busy = True
-            self.finish(waiting, [200, value.packed])
+            self.finish([waiting], [200, value.packed])
+            return
+        if waiting.order == SERIAL:
+            self.answerSerials(waiting)
+            return
+        if waiting.order == READ_ROLLOUTS:
+            self.busy = True
+            self.finish([waiting], [200, self.rolloutsShown()])
             return
         outcome = decide(value, waiting.order, waiting.payload, self.context.settings.areas)
         self.busy = True
         if outcome.value is None:
             answer = [outcome.status, outcome.text]
-            if waiting.order in (OFFER, WITHDRAW) and outcome.status == 200:
-                answer.append(self.claimsLeftMs())
-            self.finish(waiting, answer)
+            if waiting.order in (OFFER, WITHDRAW, MOVE_ROLLOUT) and outcome.status == 200:
+                answer.append(self.leasesLeftMs())
+            self.finish([waiting], answer)
             return
-        narrowed = waiting.order in (OFFER, WITHDRAW) and self.isNarrower(value, outcome.value)
+        narrowed = self.isNarrower(waiting.order, value, outcome.value)
 
         def accepted(chosen):
             if chosen and narrowed:
                 self.narrowedMs = self.context.nowMs()
-            if chosen and waiting.order in (OFFER, WITHDRAW):
-                waiting.reply([outcome.status, outcome.text, self.claimsLeftMs()])
+            if chosen and (waiting.order in (OFFER, WITHDRAW) or waiting.order == MOVE_ROLLOUT and narrowed):
+                waiting.reply([outcome.status, outcome.text, self.leasesLeftMs()])
             elif chosen:
                 waiting.reply([outcome.status, outcome.text])
             else:
@@ -667,15 +679,77 @@
             self.pump()
         self.accept(value, outcome.value, accepted)
 
-    def isNarrower(self, before, after):
-        from stagevale.partners.checking import narrows
-        return narrows(before, after)
+    def isNarrower(self, order, before, after):
+        """True where an order takes something away that proxies may hold a lease on."""
+        if order in (OFFER, WITHDRAW):
+            from stagevale.partners.checking import narrows
+            return narrows(before, after)
+        if order in (START_ROLLOUT, MOVE_ROLLOUT):
+            from stagevale.rollouts.checking import withdraws
+            return withdraws(before, after)
+        return False
+
+    def leasesLeftMs(self):
+        """How long a lease may still stand that is older than the newest withdrawal: an owner that wasn't there when it
+        was chosen counts from its own beginning."""
+        from stagevale.leases import wait_ms
+        return int(max(0.0, self.narrowedMs + wait_ms(self.context.settings.bounds) - self.context.nowMs())) + 1
+
+    def answerSerials(self, first):
+        """Proxies' questions for leases come from every registry all the time: all that wait are answered by one
+        confirmation, since each was asked before it began."""
+        waiting = [first] + [each for each in self.queue if each.order == SERIAL]
+        self.queue = [each for each in self.queue if each.order != SERIAL]
+        for each in waiting:
+            if each.payload:
+                self.judgeOf().take(json.loads(each.payload), self.context.nowMs())
+        self.busy = True
+        self.finish(waiting, [200, str(self.chosen.serial)])
+
+    def judgeOf(self):
+        """The judgement of rollouts; made with the first rollout."""
+        if self.judge is None:
+            from stagevale.rollouts.judging import Judge
+            self.judge = Judge(self.context.settings.bounds, self.context.settings.tolerance)
+        return self.judge
+
+    def tendRollouts(self):
+        """The owner advances rollouts or has them fall back; True where a change is under way."""
+        self.judging = False
+        value = self.chosen
+        if self.ballot is None or value is None:
+            return False
+        from stagevale.rollouts.judging import tend
+        proxies = [member.address for member in self.membership.members("proxy", (UP,))]
+        tended = tend(self.judgeOf(), value, proxies, self.context.nowMs())
+        if tended is None:
+            return False
+        after, withdrawn = tended
 
-    def claimsLeftMs(self):
-        """How long a claim on partner routes may still stand that is older than the newest narrowing: an owner that
-        wasn't there when it was chosen counts from its own beginning."""
-        from stagevale.partners import waitMs
-        return int(max(0.0, self.narrowedMs + waitMs(self.context.settings.bounds) - self.context.nowMs())) + 1
+        def accepted(chosen):
+            if chosen and withdrawn:
+                self.narrowedMs = self.context.nowMs()
+            self.pump()
+        self.context.log.info("%s: rollouts: %s.", self.prefix, ", ".join(
+            f"{service} is {json.loads(text)['state']} at step {json.loads(text)['step'] + 1}"
+            for service, text in after.rollouts.items() if text != value.rollouts.get(service)))
+        self.busy = True
+        self.accept(value, after, accepted)
+        return True
+
+    def rolloutsShown(self):
+        """All rollouts, their step's outcomes, and for how long leases on what was withdrawn may still stand."""
+        from stagevale.rollouts import ENDED, FALLEN, Rollout
+        rows = []
+        for service in sorted(self.chosen.rollouts):
+            rollout = Rollout(json.loads(self.chosen.rollouts[service]))
+            if rollout.state == ENDED:
+                continue
+            leftMs = self.leasesLeftMs() - 1 if rollout.state == FALLEN else 0
+            rows.append({**rollout.row(), "share": rollout.share, "leasesLeftMs": leftMs,
+                         "shown": "falling back" if leftMs > 0 else rollout.state,
+                         "outcomes": self.judgeOf().show(rollout)})
+        return json.dumps({"rollouts": rows})
 
     def finish(self, waiting, answer):
         """Answers from the chosen value, once a majority has confirmed that it is the newest."""
@@ -684,7 +758,8 @@
         def confirmed(stands):
             if self.ballot == ballot:
                 self.busy = False
-            waiting.reply(answer if stands else [503, "not confirmed"])
+            for each in waiting:
+                each.reply(answer if stands else [503, "not confirmed"])
             self.pump()
         self.confirm(confirmed)
 
--- a/stagevale/configuration/orders.py
+++ b/stagevale/configuration/orders.py
@@ -3,6 +3,7 @@
 
 REPLACE, EVACUATE, TAKE_BACK, READ = "replace", "evacuate", "takeBack", "read"
 OFFER, WITHDRAW, READ_OFFER, SERIAL = "offer", "withdraw", "readOffer", "serial"
+START_ROLLOUT, MOVE_ROLLOUT, READ_ROLLOUTS = "startRollout", "moveRollout", "readRollouts"
 
 
 class Outcome:
@@ -35,6 +36,9 @@
         if order == OFFER:
             return checking.offered(value, payload, areas, Outcome)
         return (checking.withdrawn if order == WITHDRAW else checking.readBack)(value, payload, Outcome)
+    if order in (START_ROLLOUT, MOVE_ROLLOUT):
+        from stagevale.rollouts import checking
+        return (checking.started if order == START_ROLLOUT else checking.moved)(value, payload, Outcome)
     if order == REPLACE:
         checked = readConfig(payload, frozenset(areas.values()))
         if checked.is_error():
--- a/stagevale/configuration/value.py
+++ b/stagevale/configuration/value.py
@@ -5,9 +5,10 @@
 class Value:
     """One epoch of the register. Immutable by custom."""
 
-    __slots__ = ("serial", "version", "config", "evacuated", "group", "taken", "offers", "sessions", "packed")
+    __slots__ = ("serial", "version", "config", "evacuated", "group", "taken", "offers", "sessions", "rollouts", "packed")
 
-    def __init__(self, serial, version, config, evacuated, group, taken, packed=None, offers=None, sessions=None):
+    def __init__(self, serial, version, config, evacuated, group, taken, packed=None, offers=None, sessions=None,
+                 rollouts=None):
         self.serial = serial
         self.version = version
         self.config = config
@@ -16,14 +17,18 @@
         self.taken = taken
         self.offers = offers or {}
         self.sessions = sessions or {}
+        self.rollouts = rollouts or {}
         more = []
-        if self.offers or self.sessions:
+        if self.offers or self.sessions or self.rollouts:
             more = [{name: [version, text] for name, (version, text) in self.offers.items()},
                     {name: [epoch, list(group), list(before)] for name, (epoch, group, before) in self.sessions.items()}]
+        if self.rollouts:
+            more.append(self.rollouts)
         self.packed = packed or wire.squeeze(wire.pack(
             [0, serial, version, config, list(self.evacuated), list(self.group), taken, *more]))
 
-    def after(self, version=None, config=None, evacuated=None, group=None, taken=None, offers=None, sessions=None):
+    def after(self, version=None, config=None, evacuated=None, group=None, taken=None, offers=None, sessions=None,
+              rollouts=None):
         """The next epoch with these things changed."""
         return Value(self.serial + 1,
                      self.version if version is None else version,
@@ -32,7 +37,8 @@
                      self.group if group is None else group,
                      self.taken if taken is None else taken,
                      offers=self.offers if offers is None else offers,
-                     sessions=self.sessions if sessions is None else sessions)
+                     sessions=self.sessions if sessions is None else sessions,
+                     rollouts=self.rollouts if rollouts is None else rollouts)
 
 
 def readValue(packed):
@@ -41,4 +47,5 @@
                                                                             "a colleague")
     offers = {name: (row[0], row[1]) for name, row in more[0].items()} if more else {}
     sessions = {name: (row[0], tuple(row[1]), tuple(row[2])) for name, row in more[1].items()} if more else {}
-    return Value(serial, version, config, evacuated, group, taken, packed, offers, sessions)
+    rollouts = dict(more[2]) if len(more) > 2 else {}
+    return Value(serial, version, config, evacuated, group, taken, packed, offers, sessions, rollouts)
--- a/stagevale/doctoring/__init__.py
+++ b/stagevale/doctoring/__init__.py
@@ -7,6 +7,8 @@
 from stagevale.configuration.checking import readConfig
 from stagevale.settings import SettingsProblem, loadSettings, splitAddress
 
+DELAYS_APART = 3.0
+
 
 class Finding:
     """A fault, where it is, and what to do about it."""
@@ -173,6 +175,13 @@
         if not row["holder"] or row["heardMs"] > row["borneMs"]:
             found.append(Finding(f"duty {duty}", "it has no holder", "a majority of its voters must run: "
                                  + ", ".join(row["votes"])))
+    for proxy in stand.get("proxies", ()):
+        for row in proxy.get("delays", ()):
+            expectedMs, gotMs = max(1.0, row["expectedMs"]), max(1.0, row["gotMs"])
+            if row["count"] >= 50 and max(expectedMs, gotMs) > DELAYS_APART * min(expectedMs, gotMs):
+                found.append(Finding(proxy["address"], f"expects {row['service']} from {row['region']} in {expectedMs:.0f} ms, "
+                                     f"callers got {gotMs:.0f} ms", "see `delays`: has the region changed much, or its "
+                                     "way? without a change, restart this edge"))
     if stand.get("evacuated"):
         found.append(Finding(control, f"evacuated: {', '.join(stand['evacuated'])}", "take back what is meant to serve"))
     sound = {}
--- a/stagevale/leases/__init__.py
+++ b/stagevale/leases/__init__.py
@@ -1,31 +1,45 @@
-"""A proxy's claim on partner routes: without fresh word that its table is the newest it carries none."""
-from stagevale.partners import CLAIM_MARGIN, claimMs
+"""A proxy's lease on what may be withdrawn from it: partner routes and the new version of a service."""
 
+LENGTH_SHARE = 0.8
+MARGIN_SHARE = 0.1
+WAIT_SHARE = 1.25
 
-class Claim:
+
+def lease_ms(bounds):
+    """For how long a proxy may use what it holds a lease on after it asked whether its snapshot is the newest."""
+    return bounds.applyMs * LENGTH_SHARE
+
+
+def wait_ms(bounds):
+    """How long after a withdrawal was chosen every lease asked for before has run out, with margin."""
+    return lease_ms(bounds) * WAIT_SHARE
+
+
+class Lease:
     """Asked for by number; counted on the steady clock from the moment of asking, never of the answer."""
 
-    __slots__ = ("lengthMs", "asked", "askNo", "untilMs")
+    __slots__ = ("length_ms", "asked", "ask_number", "until_ms")
 
     def __init__(self, bounds):
-        self.lengthMs = claimMs(bounds)
+        self.length_ms = lease_ms(bounds)
         self.asked = {}
-        self.askNo = 0
-        self.untilMs = -1e12
+        self.ask_number = 0
+        self.until_ms = -1e12
 
-    def ask(self, nowMs):
+    def ask(self, now_ms):
         """The number of the next question, asked now."""
-        self.askNo += 1
-        self.asked[self.askNo] = nowMs
-        self.asked = {number: ms for number, ms in self.asked.items() if nowMs - ms < self.lengthMs}
-        return self.askNo
-
-    def granted(self, askNo, newestSerial, serial):
-        """Word that `newestSerial` was the newest at some moment after the question; it stands for a table not older."""
-        askedMs = self.asked.get(askNo)
-        if askedMs is not None and serial >= newestSerial:
-            self.untilMs = max(self.untilMs, askedMs + self.lengthMs * (1.0 - CLAIM_MARGIN))
-
-    def holds(self, nowMs):
-        """True while partner routes may be offered."""
-        return nowMs < self.untilMs
+        self.ask_number += 1
+        self.asked[self.ask_number] = now_ms
+        self.asked = {number: ms for number, ms in self.asked.items() if now_ms - ms < self.length_ms}
+        return self.ask_number
+
+    def granted(self, ask_number, newest_serial, serial):
+        """Word that `newest_serial` was the newest at some moment after the question; it stands for a snapshot that is
+        not older."""
+        asked_ms = self.asked.get(ask_number)
+        if asked_ms is not None and serial >= newest_serial:
+            self.until_ms = max(self.until_ms, asked_ms + self.length_ms * (1.0 - MARGIN_SHARE))
+
+    def holds(self, now_ms):
+        """True while what may be withdrawn may be used."""
+        return now_ms < self.until_ms
--- a/stagevale/partners/__init__.py
+++ b/stagevale/partners/__init__.py
@@ -3,19 +3,6 @@
 import json
 
 OFFER_BYTES = 1024 * 1024
-CLAIM_SHARE = 0.8
-CLAIM_MARGIN = 0.1
-WAIT_SHARE = 1.25
-
-
-def claimMs(bounds):
-    """For how long a proxy may carry partner routes after it asked whether its table is the newest."""
-    return bounds.applyMs * CLAIM_SHARE
-
-
-def waitMs(bounds):
-    """How long after a narrowing was chosen every claim on an older table has run out, with margin."""
-    return claimMs(bounds) * WAIT_SHARE
 
 
 class Restriction:
--- a/stagevale/programs/proxy.py
+++ b/stagevale/programs/proxy.py
@@ -15,13 +15,15 @@
 
 
 REPORT_ROUNDS = 3.5
+OUTCOMES_EVERY = 3
 
 
 class Proxy(Daemon):
     """The daemon on an edge machine."""
 
     __slots__ = ("relay", "targets", "feeder", "feederHeardMs", "subscribed", "shunned",
-                 "livesHeard", "intervalMs", "frontServer", "reportedMs", "life", "asking")
+                 "livesHeard", "intervalMs", "frontServer", "reportedMs", "life", "asking",
+                 "asks")
 
     def __init__(self, context, path):
         super().__init__(context, "proxy", 0, path)
@@ -34,6 +36,10 @@
         self.livesHeard = False
         self.frontServer = None
         self.reportedMs = 0.0
+        if context.settings.steering:
+            from stagevale.steering import Steering
+            self.relay.chooser.steering = Steering(context.settings.bounds, context.settings.region, context.random,
+                                                   self.relay.chooser.rttMs)
         self.life = f"{context.random.getrandbits(32):08x}"
         if "usage_report" in context.settings.duties:
             self.relay.counts = WindowCounts(context.settings.bounds)
@@ -45,6 +51,7 @@
         self.board.on(wire.FEED_PING, self.onFeedPing)
         self.board.on(wire.CLAIM, self.onClaim)
         self.asking = False
+        self.asks = 0
         self.board.lostHooks.append(self.streamLost)
 
     def begin(self):
@@ -151,6 +158,8 @@
                       [[region, round(rttMs, 1)] for region, rttMs in self.relay.chooser.rttMs.items()]]
             if self.relay.holdings is not None:
                 report.append(self.relay.holdings.counts)
+            if self.relay.chooser.steering is not None:
+                report += [{}] * (5 - len(report)) + [self.relay.chooser.steering.rows(nowMs)]
             self.reportedMs = nowMs
         table = self.relay.digest.partners
         self.board.cast(self.feeder, wire.SUBSCRIBE, [f"{listen[0]}:{listen[1]}", settings.area, settings.region,
@@ -226,26 +235,32 @@
         if digest.sessions and self.relay.holdings is None:
             from stagevale.affinity.holding import Holdings
             self.relay.holdings = Holdings(self.context, self.board, self.relay, self.membership)
-        if digest.partners.rows and not self.asking:
+        if (digest.partners.rows or digest.rollouts) and not self.asking:
             self.asking = True
-            self.askClaim()
+            self.askLease()
         if self.ready() != wasReady and self.feeder is not None:
             self.subscribe(digest.serial, False)
         self.relay.pumpAll()
 
-    def askClaim(self):
-        """While partners offer anything: asks the feeder again and again whether this table is the newest."""
-        if not self.relay.digest.partners.rows:
+    def askLease(self):
+        """While partners offer anything or a rollout is on: asks the feeder again and again whether this snapshot is the
+        newest, and now and then tells what became of requests under rollouts."""
+        digest = self.relay.digest
+        if not digest.partners.rows and not digest.rollouts:
             self.asking = False
             return
-        claim = self.relay.claim
-        self.context.after(claim.lengthMs / 5.0, self.askClaim)
+        lease = self.relay.lease
+        self.context.after(lease.length_ms / 5.0, self.askLease)
         if self.feeder is not None and self.subscribed:
-            self.board.cast(self.feeder, wire.CLAIM_WANTED, [claim.ask(self.context.nowMs())])
+            told = []
+            self.asks += 1
+            if digest.rollouts and self.asks % OUTCOMES_EVERY == 0:
+                told = [self.life, self.relay.outcomes.rows(digest.rollouts) if self.relay.outcomes else []]
+            self.board.cast(self.feeder, wire.CLAIM_WANTED, [lease.ask(self.context.nowMs()), *told])
 
     def onClaim(self, peer, body, reply):
         askNo, newest = body
-        self.relay.claim.granted(askNo, newest, self.relay.digest.serial)
+        self.relay.lease.granted(askNo, newest, self.relay.digest.serial)
         if newest > self.relay.digest.serial and peer == self.feeder:
             self.board.cast(peer, wire.PULL, [self.relay.digest.serial])
         self.relay.pumpAll()
@@ -269,7 +284,8 @@
             return
         if target is None:
             region = self.context.settings.areas.get(life.area, "")
-            target = self.targets[life.id] = Target(life.id, life.service, life.address, life.area, region, life.slots)
+            target = self.targets[life.id] = Target(life.id, life.service, life.address, life.area, region, life.slots,
+                                                    life.software)
         if life.state != READY and target.state == READY:
             target.state = life.state
             for stream in list(target.idle):
--- a/stagevale/registrations/__init__.py
+++ b/stagevale/registrations/__init__.py
@@ -10,9 +10,10 @@
     """One life of an endpoint as it is known here. Immutable by custom."""
 
     __slots__ = ("id", "service", "address", "area", "slots", "state", "callSeq", "unsoundAt", "coldSeq", "coldMs",
-                 "heardMs")
+                 "heardMs", "software")
 
-    def __init__(self, id, service, address, area, slots, state, callSeq, unsoundAt, coldSeq, coldMs, heardMs=0.0):
+    def __init__(self, id, service, address, area, slots, state, callSeq, unsoundAt, coldSeq, coldMs, heardMs=0.0,
+                 software=""):
         self.id = id
         self.service = service
         self.address = address
@@ -24,6 +25,7 @@
         self.coldSeq = coldSeq
         self.coldMs = coldMs
         self.heardMs = heardMs
+        self.software = software
 
     @property
     def sound(self):
@@ -33,7 +35,7 @@
     def fields(self, nowMs):
         """The life for a message; what is left of the cold time travels, not the moment of its end."""
         return [self.id, self.service, self.address, self.area, self.slots, self.state, self.callSeq,
-                self.unsoundAt, self.coldSeq, max(0, int(self.coldMs - (nowMs - self.heardMs)))]
+                self.unsoundAt, self.coldSeq, max(0, int(self.coldMs - (nowMs - self.heardMs))), self.software]
 
     def known(self):
         """What the proxies need to know; two lives with equal answers need no push."""
@@ -42,7 +44,7 @@
 
 def lifeFromFields(row, nowMs):
     """A life out of a message; a misshapen one raises ValueError or its kin."""
-    life = Life(*row, heardMs=nowMs)
+    life = Life(*row[:10], heardMs=nowMs, software=row[10] if len(row) > 10 else "")
     if not (isinstance(life.id, str) and isinstance(life.address, str) and life.state in (READY, DRAINING, GONE)):
         raise ValueError("life")
     int(life.callSeq), int(life.unsoundAt), int(life.coldMs), int(life.slots)
@@ -75,7 +77,7 @@
         colder = comer if comer.coldSeq > known.coldSeq else known
         coldLeftMs = colder.coldMs - (nowMs - colder.heardMs)
         after = Life(known.id, known.service, newer.address, newer.area, newer.slots, state, newer.callSeq,
-                     unsoundAt, colder.coldSeq, max(0, coldLeftMs), nowMs)
+                     unsoundAt, colder.coldSeq, max(0, coldLeftMs), nowMs, known.software or comer.software)
         self.put(after)
         if state == GONE and known.state != GONE:
             self.goneMs[after.id] = nowMs
--- a/stagevale/registrations/calls.py
+++ b/stagevale/registrations/calls.py
@@ -7,6 +7,7 @@
 
 from stagevale.partners import OFFER_BYTES
 
+ROLLOUT_BYTES = 64 * 1024
 BODY_BYTES = 32 * 1024 * 1024
 HEAD_BYTES = 32 * 1024
 
@@ -138,6 +139,9 @@
     for place, field in ((details, "service"), (details, "zone"), (status, "state")):
         if not isinstance(place.get(field), str) or not place[field]:
             raise Problem(f"{field}: want a text")
+    version = details.setdefault("version", "")
+    if not isinstance(version, str) or len(version) > 200:
+        raise Problem(f"version: want a text of at most 200 characters, got {version!r}")
     status.setdefault("coldLeftMs", 0)
     for place, field, least in ((details, "slots", 1), (status, "callSeq", 0), (status, "coldLeftMs", 0)):
         value = place.get(field)
@@ -191,6 +195,8 @@
             return desk.order("read", "", ordered(answer))
         if shape[:1] == ("partners",):
             return partnerCall(method, shape[1:], query, body, answer)
+        if shape[:1] == ("rollouts",):
+            return rolloutCall(method, shape[1:], body, answer)
         if len(shape) == 2 and shape[0] == "sessions":
             if method != "GET":
                 return answer(405, {"error": "want GET"})
@@ -232,6 +238,29 @@
             return answer(400, {"error": "partner: want a name of letters, digits, dots, dashes"})
         return desk.order("offer", f"{shape[0]}\n{text}", ordered(answer))
 
+    def rolloutCall(method, shape, body, answer):
+        if len(shape) > 2 or "\n" in "".join(shape):
+            return answer(404, {"error": "no such call"})
+        if len(shape) == 2:
+            if shape[1] not in ("pause", "resume", "promote", "rollback"):
+                return answer(404, {"error": "no such call"})
+            if method != "POST":
+                return answer(405, {"error": "want POST"})
+            return desk.order("moveRollout", f"{shape[0]}\n{shape[1]}", ordered(answer))
+        if method == "GET":
+            return desk.showRollouts(shape[0] if shape else "", answer)
+        if not shape or method not in ("PUT", "DELETE"):
+            return answer(405, {"error": "want PUT, GET or DELETE" if shape else "want GET"})
+        if method == "DELETE":
+            return desk.order("moveRollout", f"{shape[0]}\nend", ordered(answer))
+        if len(body) > ROLLOUT_BYTES:
+            return answer(413, {"error": f"a rollout over {ROLLOUT_BYTES} bytes"})
+        try:
+            text = body.decode()
+        except UnicodeDecodeError:
+            return answer(400, {"error": "the body is not UTF-8"})
+        return desk.startRollout(shape[0], text, ordered(answer))
+
     def ordered(answer):
         def give(status, text):
             if status == 200:
--- a/stagevale/registrations/desk.py
+++ b/stagevale/registrations/desk.py
@@ -43,7 +43,8 @@
     __slots__ = ("context", "board", "membership", "lives", "value", "valueHeardMs", "subscribers", "attached",
                  "pingHeardMs", "voter", "owners", "rounds", "life", "heardIds", "pulling", "intervalMs", "ports",
                  "startedMs", "stopping", "movesRunning", "roundNo", "disk", "savedMark", "saving", "trueTime", "ledger",
-                 "duties", "unfed", "feeding", "claimants", "confirming", "partners", "sessions", "openLog")
+                 "duties", "unfed", "feeding", "claimants", "confirming", "partners", "sessions", "openLog",
+                 "outcomes")
 
     def __init__(self, context, board, membership):
         self.context = context
@@ -73,6 +74,7 @@
         self.unfed = {}
         self.feeding = False
         self.claimants = []
+        self.outcomes = {}
         self.confirming = False
         self.partners = NO_TABLE
         self.sessions = None
@@ -186,7 +188,8 @@
         details, status = table["details"], table["status"]
         comer = Life(id, details["service"], table["address"], details["zone"], details["slots"],
                      DRAINING if status["state"] == "draining" else READY, status["callSeq"], 0,
-                     status["callSeq"] if status["coldLeftMs"] > 0 else 0, status["coldLeftMs"], nowMs)
+                     status["callSeq"] if status["coldLeftMs"] > 0 else 0, status["coldLeftMs"], nowMs,
+                     details.get("version", ""))
         known = self.lives.byId.get(id)
         if known is not None and comer.coldSeq and known.coldSeq and self.coldLeftMs(known, nowMs) > 0 \
                 and comer.coldMs <= self.coldLeftMs(known, nowMs) + self.intervalMs:
@@ -412,7 +415,8 @@
                 if life.state == GONE or not life.sound or nowMs - life.heardMs < limitMs:
                     continue
                 unheard.append(Life(life.id, life.service, life.address, life.area, life.slots, life.state,
-                                    life.callSeq, life.callSeq, life.coldSeq, life.coldMs, life.heardMs))
+                                    life.callSeq, life.callSeq, life.coldSeq, life.coldMs, life.heardMs,
+                                    life.software))
         news = []
         for life in unheard:
             known = self.lives.byId[life.id]
@@ -668,13 +672,17 @@
 
     def onClaimWanted(self, peer, body, reply):
         """A proxy asks whether its table is the newest: one question to the register serves all that asked before it."""
-        self.claimants.append((peer, body[0]))
+        askNo, *told = body
+        self.claimants.append((peer, askNo))
+        if told:
+            self.outcomes[peer] = [peer, *told]
         self.askNewest()
 
     def askNewest(self):
         if self.confirming or not self.claimants:
             return
         asking, self.claimants = self.claimants, []
+        outcomes, self.outcomes = list(self.outcomes.values()), {}
         self.confirming = True
 
         def answered(answer, problem):
@@ -686,7 +694,64 @@
                 if self.value is None or newest > self.value.serial:
                     self.pullValue()
             self.askNewest()
-        self.askStores(wire.ORDER, ["serial", "", False], answered, self.stores()[:2], self.intervalMs * 0.5)
+        payload = json.dumps(outcomes, separators=(",", ":")) if outcomes else ""
+        self.askStores(wire.ORDER, ["serial", payload, False], answered, self.stores()[:2], self.intervalMs * 0.5)
+
+    def startRollout(self, service, text, answer):
+        """An operator's rollout, passed on once endpoints of both versions are known."""
+        from stagevale.rollouts.checking import read_rollout
+        checked = read_rollout(text)
+        if checked.is_error():
+            answer(checked.error.status, checked.error.reason)
+            return
+        software = self.softwareOf(service)
+        for field in ("from", "to"):
+            if software and checked.ok[field] not in software:
+                answer(400, f"{field}: no endpoint of {service} runs {checked.ok[field]}; known are "
+                            f"{', '.join(sorted(software))}")
+                return
+        self.order("startRollout", f"{service}\n{text}", answer)
+
+    def softwareOf(self, service):
+        """Healthy endpoints and their slots by software version."""
+        found = {}
+        for life in self.lives.parts.get(partOf(service), {}).values():
+            if life.service == service and life.state == READY and life.sound:
+                endpoints, slots = found.get(life.software, (0, 0))
+                found[life.software] = endpoints + 1, slots + life.slots
+        return found
+
+    def showRollouts(self, service, answer):
+        """All rollouts, or one, as the owner of the register confirms them; with warnings before they hurt."""
+        def shown(status, text):
+            if status != 200:
+                answer(status, {"error": text})
+                return
+            rows = [row for row in json.loads(text)["rollouts"] if service in ("", row["service"])]
+            if service and not rows:
+                answer(404, {"error": f"no rollout of {service}"})
+                return
+            for row in rows:
+                software = self.softwareOf(row["service"])
+                row["endpoints"] = {name: {"endpoints": count, "slots": slots}
+                                    for name, (count, slots) in sorted(software.items())}
+                row["warnings"] = self.rolloutWarnings(row, software)
+            answer(200, rows[0] if service else {"rollouts": rows})
+        self.order("readRollouts", "", shown)
+
+    def rolloutWarnings(self, row, software):
+        """What would hurt at a fallback: too few endpoints of the stable version to carry what the new one carries."""
+        allSlots = sum(slots for _, slots in software.values())
+        stableSlots = sum(slots for name, (_, slots) in software.items()
+                          if name != row["to"] and name not in row["withheld"])
+        warnings = []
+        if stableSlots == 0:
+            warnings.append(f"no healthy endpoint runs {row['from']}: after a fallback requests are refused with 503")
+        elif stableSlots * 2 < allSlots:
+            warnings.append(f"{row['from']} has {stableSlots} of {allSlots} slots: a fallback would crowd them")
+        if row["to"] not in software:
+            warnings.append(f"no healthy endpoint runs {row['to']}: its share goes to {row['from']}")
+        return warnings
 
     def partnerTable(self, answer):
         """The merged table, after a majority has confirmed that it is the newest; 503 where none does."""
@@ -881,5 +946,6 @@
                            "sound": life.sound, "coldLeftMs": max(0, int(life.coldMs - (nowMs - life.heardMs)))}
                           for life in self.lives.byId.values()],
             "proxies": [{"address": s.address, "front": s.front, "area": s.area, "region": s.region,
-                         "ready": bool(s.ready), "report": s.report, "table": s.table} for s in self.subscribers.values()],
+                         "ready": bool(s.ready), "report": s.report, "table": s.table,
+                         "delays": s.report[5] if len(s.report) > 5 else []} for s in self.subscribers.values()],
         }
--- a/stagevale/rehearsing/__init__.py
+++ b/stagevale/rehearsing/__init__.py
@@ -75,7 +75,7 @@
                 self.fronts[row["address"]] = (row["front"], row["area"], row["region"])
                 if not row["report"]:
                     continue
-                spanMs, flows, learned, ways = row["report"]
+                spanMs, flows, learned, ways = row["report"][:4]
                 for id, speed in learned:
                     speeds.setdefault(id, []).append(speed)
                 self.rttMs[row["area"]] = dict(ways)
--- a/stagevale/relaying/__init__.py
+++ b/stagevale/relaying/__init__.py
@@ -3,7 +3,7 @@
 from stagevale.balancing import Chooser
 from stagevale.balancing.budget import Budget
 from stagevale.balancing.digest import emptyDigest
-from stagevale.partners.claim import Claim
+from stagevale.leases import Lease
 
 SHED_SHARE = 0.2
 RETRY_SHARE = 0.12
@@ -57,12 +57,17 @@
         self.whole = False
         self.heldMs = 0.0
 
+    def splitKey(self):
+        """What a rollout's share is drawn by: the session where there is one, else the try's own id."""
+        return self.session.encode("latin-1") if self.session else self.attemptId or b""
+
 
 class Relay:
     """Carries jobs between clients' streams and endpoints' streams."""
 
     __slots__ = ("context", "digest", "chooser", "budgets", "waiting", "streams", "leaving", "running",
-                 "hopHeaders", "makeStream", "bornMs", "flows", "counts", "claim", "holdings")
+                 "hopHeaders", "makeStream", "bornMs", "flows", "counts", "lease", "holdings",
+                 "outcomes")
 
     def __init__(self, context, address, makeStream, hopHeaders):
         self.context = context
@@ -77,7 +82,8 @@
         self.running = 0
         self.counts = None
         self.holdings = None
-        self.claim = Claim(context.settings.bounds)
+        self.lease = self.chooser.lease = Lease(context.settings.bounds)
+        self.outcomes = None
         self.makeStream = makeStream
         self.hopHeaders = hopHeaders | {b"deadline-ms", b"expect-instance", b"expect"}
 
@@ -170,7 +176,7 @@
                     self.own(job, 502 if job.ran else 404, "the partner's route was withheld")
                     return False
                 job.route = route
-            if not self.claim.holds(self.context.nowMs()):
+            if not self.lease.holds(self.context.nowMs()):
                 self.giveBack(job, "partner routes wait for word from the core")
                 return False
         if job.checkedFor != digest.serial and not self.admit(job, digest):
@@ -178,6 +184,24 @@
             return False
         return True
 
+    def mayUse(self, target):
+        """Looks again, at the moment of writing, whether the endpoint's software version may still be used."""
+        return self.chooser.mayUse(target, self.digest, self.context.nowMs())
+
+    def tally(self, job, target, failed):
+        """Counts what became of a request at an endpoint, for a rollout and for steering."""
+        if failed and self.chooser.steering is not None and job.sentMs:
+            nowMs = self.context.nowMs()
+            self.chooser.steering.failed(target.service, target.region, self.chooser.workMs(job.route),
+                                         nowMs - job.sentMs, nowMs)
+        rollout = self.digest.rollouts.get(target.service) if self.digest.rollouts else None
+        if rollout is not None:
+            if self.outcomes is None:
+                from stagevale.rollouts import Outcomes
+                self.outcomes = Outcomes()
+            late = self.context.nowMs() - job.startMs > job.route.targetMs
+            self.outcomes.count(rollout, target.software, target.area, failed, late)
+
     def budget(self, service):
         budget = self.budgets.get(service)
         if budget is None:
@@ -293,6 +317,7 @@
         self.release(job, target)
         nowMs = self.context.nowMs()
         if problem is not None:
+            self.tally(job, target, True)
             service = self.digest.services.get(target.service)
             target.failed(nowMs, self.context.settings.bounds.contactMs / 8.0,
                           service.warmupMs if service else 0, True)
@@ -308,6 +333,7 @@
     def broken(self, job, target, why, silent):
         """The stream broke under the job: it may have run."""
         self.release(job, target)
+        self.tally(job, target, True)
         nowMs = self.context.nowMs()
         target.failed(nowMs, self.context.settings.bounds.contactMs / 10.0, 0, False)
         if job.answer is not None:
@@ -370,6 +396,7 @@
             self.giveBack(job, "endpoints turned it away")
             return
         job.ran = True
+        self.tally(job, target, status >= 500 or 200 <= status < 300 and b"server-seal" not in answer.fields)
         if 200 <= status < 300:
             if b"server-seal" not in answer.fields or b"content-encoding" in answer.fields:
                 target.failed(nowMs, 0, 0, False)
@@ -384,6 +411,9 @@
                 self.holdings.pin(job.session, job.service, target.id)
             if self.counts is not None and job.tenant is not None and job.route.cacheable:
                 self.counts.began(job.tenant.name, nowMs)
+            if self.chooser.steering is not None:
+                self.chooser.steering.answered(target.service, target.region, self.chooser.workMs(job.route),
+                                               nowMs - job.sentMs, job.expectedMs, nowMs)
             self.chooser.learn(job.route, target, nowMs - job.sentMs, job.wasQueued)
             self.chooser.weigh(job.route, len(job.body) + len(answer.body))
         elif status >= 500 and job.route.pure and self.again(job, target, nowMs):
@@ -447,6 +477,8 @@
         carriers, job.carriers = job.carriers, []
         for carrier in carriers:
             if carrier.job is job:
+                if job.answer is None and job.cutoffMs <= self.context.nowMs() + 1:
+                    self.tally(job, carrier.target, True)
                 carrier.giveUp()
                 carrier.target.outstanding -= 1
                 self.context.soon(self.pump, carrier.target.service)
--- a/stagevale/relaying/endpoint.py
+++ b/stagevale/relaying/endpoint.py
@@ -104,6 +104,11 @@
             self.close()
             self.relay.broken(job, self.target, f"can't be sent: {problem}", False)
             return
+        if not self.relay.mayUse(self.target):
+            self.job = None
+            self.close()
+            self.relay.notSent(job, self.target, None)
+            return
         if not self.relay.mayOffer(job):
             self.job = None
             self.close()
--- a/stagevale/settings/__init__.py
+++ b/stagevale/settings/__init__.py
@@ -41,7 +41,7 @@
 
     __slots__ = ("name", "machineClass", "ip", "area", "region", "counted", "firstStart", "dataPath",
                  "memoryMb", "fileLimit", "innerPorts", "seeds", "listen", "areas", "beatMs",
-                 "tolerance", "bounds", "policyPath", "platform", "duties", "dutyPerS")
+                 "tolerance", "bounds", "policyPath", "steering", "platform", "duties", "dutyPerS")
 
 
 def splitAddress(text, field):
@@ -99,6 +99,7 @@
     settings.tolerance = dict(table.get("tolerance", {}))
     settings.bounds = Bounds(table.get("bounds", {}))
     settings.policyPath = take(table, "policy", "path", str, "")
+    settings.steering = take(table, "steering", "on", bool, False)
     platform = take(table, "platform", "address", str, "")
     settings.platform = splitAddress(platform, "platform.address") if platform else None
     duties = take(table, "platform", "duties", list, []) if platform else []
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -31,7 +31,8 @@
 class Endpoint:
     """An endpoint that answers by a rule: rule(endpoint, head, body) gives bytes, or None for silence."""
 
-    def __init__(self, world, number, rule, area="a1", service="s"):
+    def __init__(self, world, number, rule, area="a1", service="s", software=""):
+        self.software = software
         self.world, self.rule, self.number = world, rule, number
         self.id, self.ip = f"i-{number}", f"10.9.0.{number}"
         self.area, self.service = area, service
@@ -41,7 +42,8 @@
         world.listeners[(self.ip, 80)] = (self, lambda: EndpointSide(self))
 
     def life(self, state=READY, coldMs=0, seq=1):
-        return Life(self.id, self.service, f"{self.ip}:80", self.area, 3, state, seq, 0, seq if coldMs else 0, coldMs)
+        return Life(self.id, self.service, f"{self.ip}:80", self.area, 3, state, seq, 0, seq if coldMs else 0, coldMs,
+                    software=self.software)
 
 
 class EndpointSide(asyncio.Protocol):
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -167,6 +167,27 @@
     assert "404: no partner south" in capsys.readouterr().err
     assert app(["partners", "withdraw", "north"] + at) == 0
     assert app(["partners", "explain", "w.example", "/w/1"] + at) == 1
+    shift = tmp_path / "shift.json"
+    shift.write_text(json.dumps({"version": "r1", "from": "v1", "to": "v2", "steps": [0.1, 1.0], "failureShare": 0.05,
+                                 "leastRequests": 20, "watchS": 60}))
+    capsys.readouterr()
+    assert app(["rollouts", "show"] + at) == 0 and "no rollouts" in capsys.readouterr().out
+    assert app(["rollouts", "start", "nothing", str(shift)] + at) == 1
+    assert "404: service: nothing is not" in capsys.readouterr().err
+    assert app(["rollouts", "start", "s", str(tmp_path / "none.json")] + at) == 2
+    assert app(["rollouts", "start", "s", str(shift)] + at) == 0
+    assert app(["rollouts", "pause", "s"] + at) == 0 and app(["rollouts", "resume", "s"] + at) == 0
+    capsys.readouterr()
+    assert app(["rollouts", "show", "s"] + at) == 1
+    assert "v1 to v2, shifting, step 1 of 2, share 10%" in capsys.readouterr().out
+    assert app(["rollouts", "rollback", "s"] + at) == 0
+    assert "fallen back on every node" in capsys.readouterr().out
+    assert app(["rollouts", "promote", "s"] + at) == 1 and "409" in capsys.readouterr().err
+    assert app(["rollouts", "end", "s"] + at) == 0 and app(["rollouts", "show", "s"] + at) == 1
+    capsys.readouterr()
+    assert app(["delays"] + at) == 1 and "is steering on" in capsys.readouterr().out
+    assert app(["delays", "--control", "here"]) == 2
+    capsys.readouterr()
     assert app(["sessions", "show", "fan-1"] + at) == 1
     assert "404: no route asks for affinity" in capsys.readouterr().err
     assert app(["sessions", "show", ""] + at) == 2
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -6,7 +6,8 @@
 
 from simworld import Fleet
 from standins import Endpoint, clientAt, good, job
-from stagevale.partners import mergedTable, waitMs
+from stagevale.leases import wait_ms
+from stagevale.partners import mergedTable
 from stagevale.partners.checking import readOffer
 
 AREAS = {"a1": "a", "b1": "b", "c1": "c"}
@@ -216,7 +217,7 @@
     startMs = yard.world.env.now
     assert yard.fleet.insist([0, 1, 2, 3, 4, 5], "withdraw", "bee", 30000)[0] == 200
     ackMs = yard.world.env.now
-    assert ackMs - startMs >= waitMs(yard.fleet.proxies[0].context.settings.bounds) * 0.9
+    assert ackMs - startMs >= wait_ms(yard.fleet.proxies[0].context.settings.bounds) * 0.9
     yard.world.run(3000)
     assert not yard.ran(ackMs + 1)
     clients = [yard.send(0, "/w/x/late"), yard.send(0, "/own/now")]
@@ -310,5 +311,5 @@
     assert fleet.world.until(lambda: fleet.owners() and fleet.formed(14), 20000)
     assert fleet.insist([0], "replace", json.dumps(CONFIG))[0] == 200
     fleet.world.run(3000)
-    assert all(proxy.relay.claim.askNo == 0 for proxy in fleet.proxies.values())
+    assert all(proxy.relay.lease.ask_number == 0 for proxy in fleet.proxies.values())
     assert not any(registry.desk.partners.rows for registry in fleet.registries.values())
