--- a/stagevale/balancing/__init__.py
+++ b/stagevale/balancing/__init__.py
@@ -168,14 +168,25 @@
         """The target for a job, or None; sets how long the best would take in `job.expectedMs`. Under a rollout a job of
         the new side that finds none there goes to the stable one."""
         rollout = digest.rollouts.get(job.service) if digest.rollouts else None
-        if rollout is None:
-            return self.chooseAmong(digest.targets.get(job.service, ()), job, digest, nowMs)
         targets = digest.targets.get(job.service, ())
+        if rollout is None:
+            return self.chooseSteered(targets, job, digest, nowMs)
         if self.lease.holds(nowMs) and rollout.side(job.splitKey()):
-            target = self.chooseAmong([t for t in targets if rollout.allows(1, t.software)], job, digest, nowMs)
+            target = self.chooseSteered([t for t in targets if rollout.allows(1, t.software)], job, digest, nowMs)
             if target is not None:
                 return target
-        return self.chooseAmong([t for t in targets if rollout.allows(0, t.software)], job, digest, nowMs)
+        return self.chooseSteered([t for t in targets if rollout.allows(0, t.software)], job, digest, nowMs)
+
+    def chooseSteered(self, targets, job, digest, nowMs):
+        """Where steering is on, the best target of the region that the job is steered to, if it has a free slot; else
+        the best of all."""
+        if self.steering is None:
+            return self.chooseAmong(targets, job, digest, nowMs)
+        region = self.steeredTo(job, targets, digest, nowMs)
+        target = self.chooseAmong([t for t in targets if t.region == region], job, digest, nowMs, region)
+        if target is not None and target.load(nowMs) < target.slots:
+            return target
+        return self.chooseAmong(targets, job, digest, nowMs, region)
 
     def mayUse(self, target, digest, nowMs):
         """Looks again, at the moment of writing, whether a rollout lets this endpoint take anything."""
@@ -183,15 +194,15 @@
         return (rollout is None or rollout.allows(0, target.software)
                 or rollout.allows(1, target.software) and self.lease.holds(nowMs))
 
-    def steeredTo(self, job, targets, digest, work, bulk, nowMs):
+    def steeredTo(self, job, targets, digest, nowMs):
         """The region that this job is steered to, among those in which it may be served at all."""
         regions = {target.region for target in targets
                    if target.state == READY and not target.gone and target.sound and target.area not in digest.evacuated
                    and not any(target.region not in homes for homes in job.homes)}
-        return self.steering.choose(job.service, regions, work, job.route.targetMs, bulk, job.route.pure, nowMs,
-                                    self.context.settings.bounds.contactMs / 80.0)
+        return self.steering.choose(job.service, regions, self.workMs(job.route), job.route.targetMs, self.bulk(job.route),
+                                    job.route.pure, nowMs, self.context.settings.bounds.contactMs / 80.0)
 
-    def chooseAmong(self, targets, job, digest, nowMs):
+    def chooseAmong(self, targets, job, digest, nowMs, steered=None):
         """The target with the least cost among these, or None."""
         route = job.route
         settings = self.context.settings
@@ -205,7 +216,6 @@
         best, bestCost = None, None
         job.expectedMs = None
         share = max(2, service.maxConns // (len(digest.proxies) + 2))
-        steered = self.steeredTo(job, targets, digest, work, bulk, nowMs) if self.steering is not None else None
         for target in targets:
             if (target.state != READY or target.gone or not target.sound or target.area in digest.evacuated
                     or target.id in job.tried or any(target.region not in homes for homes in job.homes)
@@ -220,7 +230,7 @@
                 continue
             ahead = max(0.0, load + 1 - target.slots) / target.slots
             speed = target.speed
-            if steered is not None and target.answeredMs == 0.0:
+            if steered is not None and nowMs - target.answeredMs > self.steering.memory_ms:
                 speed = self.steering.slowness(job.service, target.region, nowMs)
             tookMs = speed * (work + mixed * ahead)
             if nowMs < target.coldUntilMs:
