--- a/stagevale/affinity/__init__.py
+++ b/stagevale/affinity/__init__.py
@@ -13,23 +13,23 @@
 STATES = ("under way", "unknown", "did not run", "answered")
 
 
-def groupName(homes, session):
+def group_name(homes, session):
     """The group that keeps a session's record: by its route's homes and the hash of its name."""
     return f"{','.join(sorted(homes))}|{zlib.crc32(session) % SESSION_PARTS}"
 
 
-def groupNames(homes):
+def group_names(homes):
     """All groups of a set of homes."""
     return [f"{','.join(sorted(homes))}|{number}" for number in range(SESSION_PARTS)]
 
 
-def homesOf(name):
+def homes_of(name):
     """The homes that a group's name stands for."""
     homes = name.partition("|")[0]
     return frozenset(homes.split(",")) if homes else frozenset()
 
 
-def digestOf(method, target, body):
+def digest_of(method, target, body):
     """What a key stands for: the same key with another digest is another job under a used name."""
     return hashlib.sha256(method + b"\n" + target + b"\n" + body).hexdigest()[:24]
 
@@ -41,26 +41,26 @@
     records, so an earlier turn that it didn't see was never noted by one and can't be any more.
     """
 
-    __slots__ = ("turn", "state", "digest", "by", "answer", "expiresMs")
+    __slots__ = ("turn", "state", "digest", "by", "answer", "expires_ms")
 
-    def __init__(self, turn, state, digest, by, answer, expiresMs):
+    def __init__(self, turn, state, digest, by, answer, expires_ms):
         self.turn = turn
         self.state = state
         self.digest = digest
         self.by = by
         self.answer = answer
-        self.expiresMs = expiresMs
+        self.expires_ms = expires_ms
 
     def rank(self):
         return self.turn, self.state
 
-    def fields(self, nowMs):
-        return [list(self.turn), self.state, self.digest, self.by, self.answer, int(self.expiresMs - nowMs)]
+    def fields(self, now_ms):
+        return [list(self.turn), self.state, self.digest, self.by, self.answer, int(self.expires_ms - now_ms)]
 
 
-def entryFrom(fields, nowMs):
-    turn, state, digest, by, answer, leftMs = fields
-    return Entry((int(turn[0]), turn[1], int(turn[2])), int(state), digest, by, answer, nowMs + leftMs)
+def entry_from(fields, now_ms):
+    turn, state, digest, by, answer, left_ms = fields
+    return Entry((int(turn[0]), turn[1], int(turn[2])), int(state), digest, by, answer, now_ms + left_ms)
 
 
 class Record:
@@ -77,9 +77,9 @@
     def epoch(self):
         return self.number, self.holder
 
-    def fields(self, nowMs):
-        return [self.number, self.holder, self.pins, {key: entry.fields(nowMs) for key, entry in self.jobs.items()
-                                                      if entry.expiresMs > nowMs}]
+    def fields(self, now_ms):
+        return [self.number, self.holder, self.pins, {key: entry.fields(now_ms) for key, entry in self.jobs.items()
+                                                      if entry.expires_ms > now_ms}]
 
     def join(self, other):
         """Takes in what another copy of the record knows."""
@@ -94,9 +94,9 @@
                 self.jobs[key] = entry
 
 
-def recordFrom(fields, nowMs):
+def record_from(fields, now_ms):
     number, holder, pins, jobs = fields
-    return Record(int(number), holder, dict(pins), {key: entryFrom(row, nowMs) for key, row in jobs.items()})
+    return Record(int(number), holder, dict(pins), {key: entry_from(row, now_ms) for key, row in jobs.items()})
 
 
 def tend(sessions, wanted, registries, gone):
@@ -108,7 +108,7 @@
     after = dict(sessions)
     for name in wanted:
         if name not in after:
-            members = chooseMembers(name, registries, ())
+            members = choose_members(name, registries, ())
             if members:
                 after[name] = (1, members, (FRESH,))
     for name, (epoch, members, before) in sessions.items():
@@ -116,22 +116,22 @@
         if before or not lost:
             continue
         kept = tuple(address for address in members if address not in lost[:1])
-        comers = chooseMembers(name, [r for r in registries if r.address not in members], kept)
+        comers = choose_members(name, [r for r in registries if r.address not in members], kept)
         if len(comers) > len(kept):
             after[name] = (epoch + 1, comers, members)
     return after if after != sessions else None
 
 
-def chooseMembers(name, registries, kept):
+def choose_members(name, registries, kept):
     """Members for a group: those kept, then by hash, a region without one first."""
-    homes = homesOf(name)
+    homes = homes_of(name)
     able = sorted((r for r in registries if not homes or r.region in homes),
                   key=lambda r: -zlib.crc32(f"{name} {r.address}".encode()))
-    regionOf = {r.address: r.region for r in registries}
+    region_of = {r.address: r.region for r in registries}
     members = list(kept)
     for fresh in (True, False):
         for registry in able:
-            taken = {regionOf.get(address) for address in members}
+            taken = {region_of.get(address) for address in members}
             if len(members) < GROUP_SIZE and registry.address not in members \
                     and (not fresh or registry.region not in taken):
                 members.append(registry.address)
--- a/stagevale/affinity/holding.py
+++ b/stagevale/affinity/holding.py
@@ -3,7 +3,7 @@
 
 from stagevale import wire
 from stagevale.affinity import (ANSWER_BYTES, ANSWERED, FREE, HEADER_BYTES, KEY_HEADER, NOTED, UNKNOWN, Entry, Record,
-                                digestOf, entryFrom, groupName, recordFrom)
+                                digest_of, entry_from, group_name, record_from)
 from stagevale.ballots import majority
 
 HELD_MOST = 20000
@@ -59,7 +59,7 @@
         self.looked = set()
         self.counts = {"held": 0, "handedOver": 0, "repeats": 0, "unknown": 0, "shed": 0}
         self.noting = True
-        board.on(wire.SESSION_HEIR, self.onHeir)
+        board.on(wire.SESSION_HEIR, self.on_heir)
 
     def me(self):
         return f"{self.membership.me.address}#{self.membership.me.uid}"
@@ -90,13 +90,13 @@
         if not sessions:
             return ""
         job.session = sessions[0].decode("latin-1")
-        name = groupName(job.route.homes, sessions[0])
+        name = group_name(job.route.homes, sessions[0])
         if job.route.pure:
             job.prefers = self.pinned(job.session, job.service)
             if job.prefers is None:
-                self.lookAt(job.session, name)
+                self.look_at(job.session, name)
         elif keys and self.noting:
-            job.note = Note(job.session, keys[0].decode("latin-1"), digestOf(job.method, job.target, job.body), name)
+            job.note = Note(job.session, keys[0].decode("latin-1"), digest_of(job.method, job.target, job.body), name)
         return ""
 
     # endpoints that sessions keep to
@@ -112,7 +112,7 @@
         while len(self.pins) > HELD_MOST:
             self.looked.discard(self.pins.popitem(last=False)[0])
 
-    def lookAt(self, session, name):
+    def look_at(self, session, name):
         """A repeatable job goes at once; what other sites know of its session is asked for beside it, once."""
         group = self.group(name)
         if group is None or session in self.looked:
@@ -121,26 +121,26 @@
         if len(self.looked) > HELD_MOST:
             self.looked.clear()
         epoch, members = group
-        near = sorted(members, key=lambda address: self.regionOf(address) != self.membership.me.region)
+        near = sorted(members, key=lambda address: self.region_of(address) != self.membership.me.region)
 
         def answered(answer, problem):
             if problem is None and answer and answer[0] and answer[1] is not None:
-                record = recordFrom(answer[1], self.context.nowMs())
+                record = record_from(answer[1], self.context.now_ms())
                 for service, id in record.pins.items():
                     if self.pinned(session, service) is None:
                         self.pin(session, service, id)
-        self.board.call(near[0], wire.SESSION_LOOK, [name, epoch, session], self.callMs(), answered)
+        self.board.call(near[0], wire.SESSION_LOOK, [name, epoch, session], self.call_ms(), answered)
 
-    def regionOf(self, address):
+    def region_of(self, address):
         member = self.membership.state.members.get(address)
         return member.region if member is not None else ""
 
-    def callMs(self):
-        return self.context.settings.bounds.contactMs * CALL_SHARE
+    def call_ms(self):
+        return self.context.settings.bounds.contact_ms * CALL_SHARE
 
     # taking a session
 
-    def askAll(self, name, kind, body, done):
+    def ask_all(self, name, kind, body, done):
         """Puts one question to a group; `done(answers)` once a majority has said yes (1 first) or it can't any more."""
         group = self.group(name)
         if group is None:
@@ -158,14 +158,14 @@
                 over.append(1)
                 done(answers)
         for peer in members:
-            self.board.call(peer, kind, [name, epoch] + body, self.callMs(),
+            self.board.call(peer, kind, [name, epoch] + body, self.call_ms(),
                             lambda answer, problem, peer=peer: answered(peer, answer, problem))
 
     def agreed(self, name, answers):
         group = self.group(name)
         return group is not None and sum(1 for row in answers if row[0] == 1) >= majority(len(group[1]))
 
-    def withHold(self, note, untilMs, then, shed):
+    def with_hold(self, note, until_ms, then, shed):
         """Calls `then(hold)` once this proxy holds the session, `shed()` where that doesn't come about in time."""
         hold = self.held.get(note.session)
         group = self.group(note.name)
@@ -178,18 +178,18 @@
             waiting.append((then, shed))
             return
         self.taking[note.session] = [(then, shed)]
-        self.take(note, 1, untilMs)
+        self.take(note, 1, until_ms)
 
-    def take(self, note, number, untilMs):
+    def take(self, note, number, until_ms):
         epoch = (self.group(note.name) or (0, ()))[0]
 
         def answered(answers):
-            nowMs = self.context.nowMs()
+            now_ms = self.context.now_ms()
             if self.agreed(note.name, answers) and (self.group(note.name) or (None,))[0] == epoch:
                 record = Record(number, self.me())
                 for row in answers:
                     if row[0] == 1:
-                        known = recordFrom(row[1], nowMs)
+                        known = record_from(row[1], now_ms)
                         record.join(known)
                 hold = self.held[note.session] = Hold(note.name, epoch, record)
                 record.number, record.holder = number, self.me()
@@ -203,13 +203,13 @@
                 for then, _ in self.taking.pop(note.session, ()):
                     then(hold)
                 return
-            if nowMs < untilMs:
+            if now_ms < until_ms:
                 higher = max([row[1] for row in answers if row[0] == 0] + [number])
-                self.context.after(self.context.random.uniform(2.0, 15.0), self.take, note, higher + 1, untilMs)
+                self.context.after(self.context.random.uniform(2.0, 15.0), self.take, note, higher + 1, until_ms)
                 return
             for _, shed in self.taking.pop(note.session, ()):
                 shed()
-        self.askAll(note.name, wire.SESSION_TAKE, [note.session, number, self.me()], answered)
+        self.ask_all(note.name, wire.SESSION_TAKE, [note.session, number, self.me()], answered)
 
     # an at-most-once job
 
@@ -229,28 +229,28 @@
 
     def begin(self, job):
         note = job.note
-        untilMs = job.startMs + job.route.targetMs * PATIENCE_SHARE
-        self.withHold(note, untilMs, lambda hold: self.decide(job, hold, untilMs),
+        until_ms = job.start_ms + job.route.target_ms * PATIENCE_SHARE
+        self.with_hold(note, until_ms, lambda hold: self.decide(job, hold, until_ms),
                       lambda: self.shed(job, "its session's record can't be had in time"))
 
     def shed(self, job, why):
         self.counts["shed"] += 1
         self.conclude(job, FREE, None)
-        self.relay.giveBack(job, why)
+        self.relay.give_back(job, why)
 
-    def decide(self, job, hold, untilMs):
+    def decide(self, job, hold, until_ms):
         """What the record says of the job's key."""
         note = job.note
         if job.answer is not None:
             self.conclude(job, FREE, None)
             return
         entry = hold.record.jobs.get(note.key)
-        nowMs = self.context.nowMs()
-        if entry is not None and entry.expiresMs <= nowMs:
+        now_ms = self.context.now_ms()
+        if entry is not None and entry.expires_ms <= now_ms:
             entry = None
         if entry is None or entry.state == FREE:
             again = entry is not None and entry.turn[:2] == hold.record.epoch()
-            self.note(job, hold, entry.turn[2] + 1 if again else 1, untilMs)
+            self.note(job, hold, entry.turn[2] + 1 if again else 1, until_ms)
         elif entry.digest != note.digest:
             self.conclude(job, None, None)
             self.relay.own(job, 422, "the key stands for another job")
@@ -258,17 +258,17 @@
             self.counts["repeats"] += 1
             self.conclude(job, None, None)
             self.replay(job, entry)
-        elif entry.state == UNKNOWN or not self.atWork(entry.by):
+        elif entry.state == UNKNOWN or not self.at_work(entry.by):
             self.counts["unknown"] += 1
             if entry.state != UNKNOWN:
-                self.mark(note, entry.turn, UNKNOWN, entry.by, None, job.route.affinity.keepMs, None, {})
+                self.mark(note, entry.turn, UNKNOWN, entry.by, None, job.route.affinity.keep_ms, None, {})
                 entry.state = UNKNOWN
             self.conclude(job, None, None)
             self.relay.own(job, 504, "whether this key has run is not known; it will not run again")
         else:
             self.await_(job, entry)
 
-    def atWork(self, by):
+    def at_work(self, by):
         """True while the proxy life that noted a key may still be working on it."""
         address, _, uid = by.partition("#")
         if by == self.me():
@@ -284,36 +284,36 @@
             if job.answer is not None:
                 self.conclude(job, None, None)
                 return
-            nowMs = self.context.nowMs()
+            now_ms = self.context.now_ms()
             record = Record()
             for row in answers:
                 if row[0] == 1 and row[1] is not None:
-                    record.join(recordFrom(row[1], nowMs))
+                    record.join(record_from(row[1], now_ms))
             hold = self.held.get(note.session)
             if hold is not None:
                 hold.record.join(record)
             known = record.jobs.get(note.key)
             if known is not None and known.state == FREE:
                 self.begin(job)
-            elif known is not None and (known.state in (ANSWERED, UNKNOWN) or not self.atWork(known.by)):
+            elif known is not None and (known.state in (ANSWERED, UNKNOWN) or not self.at_work(known.by)):
                 self.decide(job, Hold(note.name, 0, record), 0.0)
-            elif nowMs + self.context.settings.bounds.contactMs * LOOK_SHARE + self.callMs() * 0.3 > job.cutoffMs:
+            elif now_ms + self.context.settings.bounds.contact_ms * LOOK_SHARE + self.call_ms() * 0.3 > job.cutoff_ms:
                 self.conclude(job, None, None)
                 self.relay.own(job, 409, "this key is at work at another site")
             else:
-                self.context.after(self.context.settings.bounds.contactMs * LOOK_SHARE, look)
+                self.context.after(self.context.settings.bounds.contact_ms * LOOK_SHARE, look)
 
         def look():
-            self.askAll(note.name, wire.SESSION_LOOK, [note.session], looked)
+            self.ask_all(note.name, wire.SESSION_LOOK, [note.session], looked)
         look()
 
-    def note(self, job, hold, count, untilMs):
+    def note(self, job, hold, count, until_ms):
         """Has the job's key noted by a majority under the epoch of the hold, then lets the job be offered."""
         note = job.note
-        if self.context.nowMs() > untilMs:
+        if self.context.now_ms() > until_ms:
             self.shed(job, "its key can't be noted in time")
             return
-        keepMs = job.route.affinity.keepMs
+        keep_ms = job.route.affinity.keep_ms
         record = hold.record
         turn = note.turn = (record.number, record.holder, count)
 
@@ -322,40 +322,40 @@
                 return
             if self.agreed(note.name, answers):
                 note.noted = True
-                record.jobs[note.key] = Entry(turn, NOTED, note.digest, self.me(), None, self.context.nowMs() + keepMs)
+                record.jobs[note.key] = Entry(turn, NOTED, note.digest, self.me(), None, self.context.now_ms() + keep_ms)
                 if job.answer is not None:
                     self.conclude(job, FREE, None)
                     return
-                job.heldMs = self.context.nowMs() - job.startMs
+                job.held_ms = self.context.now_ms() - job.start_ms
                 self.relay.offer(job)
                 return
             if self.held.get(note.session) is hold:
                 del self.held[note.session]
-            known = [entryFrom(row[1], self.context.nowMs()) for row in answers if row[0] == 2]
+            known = [entry_from(row[1], self.context.now_ms()) for row in answers if row[0] == 2]
             if known:
-                self.mark(note, turn, FREE, self.me(), None, keepMs, None, {})
+                self.mark(note, turn, FREE, self.me(), None, keep_ms, None, {})
                 for entry in known:
                     record.jobs[note.key] = max((entry, record.jobs.get(note.key, entry)), key=lambda e: e.rank())
-                self.decide(job, hold, untilMs)
+                self.decide(job, hold, until_ms)
                 return
-            self.mark(note, turn, FREE, self.me(), None, keepMs, None, {})
-            if any(row[0] == 0 for row in answers) and self.context.nowMs() < untilMs and job.answer is None:
+            self.mark(note, turn, FREE, self.me(), None, keep_ms, None, {})
+            if any(row[0] == 0 for row in answers) and self.context.now_ms() < until_ms and job.answer is None:
                 self.begin(job)
             else:
                 self.shed(job, "its key can't be noted in time")
-        self.askAll(note.name, wire.SESSION_NOTE, [note.session, record.number, record.holder, note.key, count, note.digest,
-                                                   self.me(), keepMs], answered)
+        self.ask_all(note.name, wire.SESSION_NOTE, [note.session, record.number, record.holder, note.key, count, note.digest,
+                                                   self.me(), keep_ms], answered)
 
-    def mark(self, note, turn, state, by, answer, keepMs, done, pins):
+    def mark(self, note, turn, state, by, answer, keep_ms, done, pins):
         """Tells the group what became of a key; `done(kept)` once a majority has it or can't."""
-        fields = Entry(turn, state, note.digest, by, answer, self.context.nowMs() + keepMs).fields(self.context.nowMs())
+        fields = Entry(turn, state, note.digest, by, answer, self.context.now_ms() + keep_ms).fields(self.context.now_ms())
         hold = self.held.get(note.session)
         if hold is not None:
-            entry = entryFrom(fields, self.context.nowMs())
+            entry = entry_from(fields, self.context.now_ms())
             known = hold.record.jobs.get(note.key)
             if known is None or entry.rank() > known.rank():
                 hold.record.jobs[note.key] = entry
-        self.askAll(note.name, wire.SESSION_MARK, [note.session, note.key, fields, pins],
+        self.ask_all(note.name, wire.SESSION_MARK, [note.session, note.key, fields, pins],
                     lambda answers: done(self.agreed(note.name, answers)) if done is not None else None)
 
     def settle(self, job, answer, ended):
@@ -375,7 +375,7 @@
         if state != ANSWERED:
             note.settled = True
             if note.noted:
-                self.insist(job, state, None, self.context.nowMs() + self.callMs() * 10, lambda agreed: None)
+                self.insist(job, state, None, self.context.now_ms() + self.call_ms() * 10, lambda agreed: None)
             if state == UNKNOWN:
                 self.counts["unknown"] += 1
             self.forget(job)
@@ -389,16 +389,16 @@
             self.forget(job)
             ended(answer if agreed else (504, b"", [("Content-Type", "text/plain")],
                                          b"its answer could not be noted in time"))
-        self.insist(job, state, self.kept(answer), job.cutoffMs - self.callMs(), marked)
+        self.insist(job, state, self.kept(answer), job.cutoff_ms - self.call_ms(), marked)
 
-    def insist(self, job, state, kept, untilMs, done):
+    def insist(self, job, state, kept, until_ms, done):
         """Tells the group what became of a key until a majority has it, or for as long as it is worth while."""
         def answered(agreed):
-            if agreed or self.context.nowMs() > untilMs:
+            if agreed or self.context.now_ms() > until_ms:
                 done(agreed)
             else:
-                self.context.after(self.callMs() * 0.1, self.insist, job, state, kept, untilMs, done)
-        self.mark(job.note, job.note.turn, state, self.me(), kept, job.route.affinity.keepMs, answered,
+                self.context.after(self.call_ms() * 0.1, self.insist, job, state, kept, until_ms, done)
+        self.mark(job.note, job.note.turn, state, self.me(), kept, job.route.affinity.keep_ms, answered,
                   self.pins.get(job.note.session, {}))
 
     def kept(self, answer):
@@ -429,7 +429,7 @@
             self.forget(job)
             return
         self.insist(job, state, self.kept(answer) if answer is not None else None,
-                    self.context.nowMs() + self.callMs() * 10, lambda agreed: self.forget(job))
+                    self.context.now_ms() + self.call_ms() * 10, lambda agreed: self.forget(job))
 
     def replay(self, job, entry):
         """The noted answer, under this job's own id."""
@@ -438,13 +438,13 @@
             self.relay.own(job, 409, "this key was answered before, with more than is kept")
             return
         rows = [(bytes(name), bytes(value)) for name, value in headers]
-        if job.attemptId:
-            rows.append((b"Attempt-Id", job.attemptId))
+        if job.attempt_id:
+            rows.append((b"Attempt-Id", job.attempt_id))
         self.relay.finish(job, (status, bytes(reason), rows, bytes(body)))
 
     # an end in order
 
-    def handOn(self):
+    def hand_on(self):
         """Before this proxy ends: others of its area take the sessions that it holds."""
         heirs = [member for member in self.membership.members("proxy")
                  if member.area == self.membership.me.area and member.address != self.membership.me.address
@@ -457,7 +457,7 @@
         for heir, sessions in rows.items():
             self.board.cast(heir, wire.SESSION_HEIR, sessions)
 
-    def onHeir(self, peer, body, reply):
+    def on_heir(self, peer, body, reply):
         for session, name, number in body:
             if session not in self.held and session not in self.taking:
                 self.taking[session] = []
--- a/stagevale/affinity/keeping.py
+++ b/stagevale/affinity/keeping.py
@@ -1,6 +1,6 @@
 """A registry's part in the sessions: it keeps the records of the groups it is in, on disk before it answers."""
 from stagevale import wire
-from stagevale.affinity import FRESH, NOTED, UNKNOWN, Entry, Record, entryFrom, recordFrom
+from stagevale.affinity import FRESH, NOTED, UNKNOWN, Entry, Record, entry_from, record_from
 from stagevale.ballots import majority
 
 RETRY_SHARE = 0.2
@@ -9,13 +9,13 @@
 class Group:
     """What this registry knows of one group and, as a member, its records."""
 
-    __slots__ = ("epoch", "members", "before", "learnedEpoch", "sealed", "records", "learning")
+    __slots__ = ("epoch", "members", "before", "learned_epoch", "sealed", "records", "learning")
 
     def __init__(self):
         self.epoch = 0
         self.members = ()
         self.before = ()
-        self.learnedEpoch = 0
+        self.learned_epoch = 0
         self.sealed = 0
         self.records = {}
         self.learning = False
@@ -36,24 +36,24 @@
         self.unsaved = []
         self.saving = False
         self.counts = {"taken": 0, "handedOver": 0, "noted": 0}
-        for kind, handler in ((wire.SESSION_TAKE, self.onTake), (wire.SESSION_NOTE, self.onNote),
-                              (wire.SESSION_MARK, self.onMark), (wire.SESSION_LOOK, self.onLook),
-                              (wire.SESSION_LEARN, self.onLearn), (wire.SESSION_READY, self.onReady)):
+        for kind, handler in ((wire.SESSION_TAKE, self.on_take), (wire.SESSION_NOTE, self.on_note),
+                              (wire.SESSION_MARK, self.on_mark), (wire.SESSION_LOOK, self.on_look),
+                              (wire.SESSION_LEARN, self.on_learn), (wire.SESSION_READY, self.on_ready)):
             board.on(kind, handler)
-        context.disk(log.load, self.onLoaded)
+        context.disk(log.load, self.on_loaded)
 
-    def onLoaded(self, rows, problem):
+    def on_loaded(self, rows, problem):
         if problem is not None:
             self.context.log.error("sessions: the disk can't be read: %s; trying again.", problem)
-            self.context.after(500, lambda: self.context.disk(self.log.load, self.onLoaded))
+            self.context.after(500, lambda: self.context.disk(self.log.load, self.on_loaded))
             return
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         for row in rows or ():
             if row[0] == "group":
                 group = self.groups.setdefault(row[1], Group())
-                group.learnedEpoch, group.sealed = row[2], row[3]
+                group.learned_epoch, group.sealed = row[2], row[3]
             else:
-                self.groups.setdefault(row[1], Group()).records[row[2]] = recordFrom(row[3], nowMs)
+                self.groups.setdefault(row[1], Group()).records[row[2]] = record_from(row[3], now_ms)
         self.loaded = True
         self.configure(self.latest)
 
@@ -61,9 +61,9 @@
         """Brings a row to disk; `done()` once it is there. Rows that come meanwhile go together."""
         self.unsaved.append((row, done))
         if not self.saving:
-            self.saveNext()
+            self.save_next()
 
-    def saveNext(self):
+    def save_next(self):
         if not self.unsaved:
             return
         batch, self.unsaved, self.saving = self.unsaved, [], True
@@ -73,23 +73,23 @@
             if problem is not None:
                 self.context.log.error("sessions: saving failed: %s.", problem)
                 self.unsaved = batch + self.unsaved
-                self.context.after(200, self.saveNext)
+                self.context.after(200, self.save_next)
                 return
             for _, done in batch:
                 if done is not None:
                     done()
             if not self.saving:
-                self.saveNext()
-        whole = self.log.wantsWhole()
+                self.save_next()
+        whole = self.log.wants_whole()
         rows = self.everything() if whole else [row for row, _ in batch]
         self.context.disk(lambda: self.log.append(rows, whole), saved)
 
     def everything(self):
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         rows = []
         for name, group in self.groups.items():
-            rows.append(["group", name, group.learnedEpoch, group.sealed])
-            rows += [["record", name, session, record.fields(nowMs)] for session, record in group.records.items()]
+            rows.append(["group", name, group.learned_epoch, group.sealed])
+            rows += [["record", name, session, record.fields(now_ms)] for session, record in group.records.items()]
         return rows
 
     # groups
@@ -104,7 +104,7 @@
             if epoch < group.epoch:
                 continue
             group.epoch, group.members, group.before = epoch, tuple(members), tuple(before)
-            if self.board.address in members and group.learnedEpoch < epoch:
+            if self.board.address in members and group.learned_epoch < epoch:
                 self.learn(name)
             elif self.board.address not in members and not before:
                 group.records = {}
@@ -112,7 +112,7 @@
     def learn(self, name):
         """Brings a group's records here: from a majority of the members before, who seal, or of those that are."""
         group = self.groups[name]
-        if group.learning or group.learnedEpoch >= group.epoch or self.board.address not in group.members:
+        if group.learning or group.learned_epoch >= group.epoch or self.board.address not in group.members:
             return
         epoch = group.epoch
         if group.before == (FRESH,):
@@ -124,7 +124,7 @@
         got, waiting = [], set(peers)
         if self.board.address in peers:
             waiting.discard(self.board.address)
-            if group.learnedEpoch >= least:
+            if group.learned_epoch >= least:
                 got.append({})
 
         def answered(peer, answer, problem):
@@ -136,80 +136,80 @@
                 self.learnt(name, epoch, got)
             elif not waiting and group.learning:
                 group.learning = False
-                self.context.after(self.context.settings.bounds.contactMs * RETRY_SHARE / 2, self.learn, name)
-        cutoffMs = self.context.settings.bounds.contactMs * RETRY_SHARE
+                self.context.after(self.context.settings.bounds.contact_ms * RETRY_SHARE / 2, self.learn, name)
+        cutoff_ms = self.context.settings.bounds.contact_ms * RETRY_SHARE
         for peer in list(waiting):
-            self.board.call(peer, wire.SESSION_LEARN, [name, epoch], cutoffMs,
+            self.board.call(peer, wire.SESSION_LEARN, [name, epoch], cutoff_ms,
                             lambda answer, problem, peer=peer: answered(peer, answer, problem))
         if not waiting:
             answered("", None, "nobody to ask")
 
     def learnt(self, name, epoch, got):
         group = self.groups[name]
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         for records in got:
             for session, fields in records.items():
-                self.recordOf(group, session).join(recordFrom(fields, nowMs))
+                self.record_of(group, session).join(record_from(fields, now_ms))
         for session, record in group.records.items():
-            self.save(["record", name, session, record.fields(nowMs)], None)
+            self.save(["record", name, session, record.fields(now_ms)], None)
 
         def saved():
             if group.epoch == epoch:
-                group.learnedEpoch = epoch
+                group.learned_epoch = epoch
                 self.context.log.info("sessions: group %s, epoch %d, is learned with %d records.", name, epoch,
                                       len(group.records))
         self.save(["group", name, epoch, group.sealed], saved)
 
-    def onLearn(self, peer, body, reply):
+    def on_learn(self, peer, body, reply):
         """A member of a later group asks: what was noted here is handed over, and nothing more is noted before."""
         name, epoch = body
         group = self.groups.get(name)
         if group is None or not self.loaded:
             reply([-1, {}])
             return
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
 
         def answer():
-            reply([group.learnedEpoch, {session: record.fields(nowMs) for session, record in group.records.items()}])
+            reply([group.learned_epoch, {session: record.fields(now_ms) for session, record in group.records.items()}])
         if epoch > group.epoch and epoch > group.sealed:
             group.sealed = epoch
-            self.save(["group", name, group.learnedEpoch, epoch], answer)
+            self.save(["group", name, group.learned_epoch, epoch], answer)
         else:
             answer()
 
-    def onReady(self, peer, body, reply):
+    def on_ready(self, peer, body, reply):
         name, epoch = body
         group = self.groups.get(name)
-        reply(int(group is not None and group.learnedEpoch >= epoch))
+        reply(int(group is not None and group.learned_epoch >= epoch))
 
     def able(self, name, epoch):
         """The group, where this registry may speak for it under this epoch."""
         group = self.groups.get(name)
-        if (group is None or group.epoch != epoch or group.learnedEpoch != epoch or group.sealed > epoch
+        if (group is None or group.epoch != epoch or group.learned_epoch != epoch or group.sealed > epoch
                 or self.board.address not in group.members or group.before == (FRESH,)):
             return None
         return group
 
-    def recordOf(self, group, session):
+    def record_of(self, group, session):
         record = group.records.get(session)
         if record is None:
             record = group.records[session] = Record()
         return record
 
     def kept(self, name, session, record, reply, answer):
-        self.save(["record", name, session, record.fields(self.context.nowMs())], lambda: reply(answer))
+        self.save(["record", name, session, record.fields(self.context.now_ms())], lambda: reply(answer))
 
     # sessions
 
-    def onTake(self, peer, body, reply):
+    def on_take(self, peer, body, reply):
         """A proxy wants to hold a session under a higher epoch."""
         name, epoch, session, number, holder = body
         group = self.able(name, epoch)
         if group is None:
             reply([-1])
             return
-        nowMs = self.context.nowMs()
-        record = self.recordOf(group, session)
+        now_ms = self.context.now_ms()
+        record = self.record_of(group, session)
         if (number, holder) <= record.epoch():
             reply([0, record.number])
             return
@@ -218,55 +218,55 @@
         if record.holder and record.holder != holder:
             self.counts["handedOver"] += 1
         record.number, record.holder = number, holder
-        self.expire(record, nowMs)
-        self.kept(name, session, record, reply, [1, record.fields(nowMs), former])
+        self.expire(record, now_ms)
+        self.kept(name, session, record, reply, [1, record.fields(now_ms), former])
 
-    def expire(self, record, nowMs):
-        for key in [key for key, entry in record.jobs.items() if entry.expiresMs <= nowMs]:
+    def expire(self, record, now_ms):
+        for key in [key for key, entry in record.jobs.items() if entry.expires_ms <= now_ms]:
             del record.jobs[key]
 
-    def onNote(self, peer, body, reply):
+    def on_note(self, peer, body, reply):
         """The holder notes a job before it is offered."""
-        name, epoch, session, number, holder, key, turn, digest, by, keepMs = body
+        name, epoch, session, number, holder, key, turn, digest, by, keep_ms = body
         group = self.able(name, epoch)
         if group is None:
             reply([-1])
             return
-        record = self.recordOf(group, session)
+        record = self.record_of(group, session)
         if (number, holder) != record.epoch():
             reply([0, record.number])
             return
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         entry = record.jobs.get(key)
         turn = (number, holder, turn)
         if entry is not None and entry.turn >= turn:
-            reply([2, entry.fields(nowMs)])
+            reply([2, entry.fields(now_ms)])
             return
         self.counts["noted"] += 1
-        record.jobs[key] = Entry(turn, NOTED, digest, by, None, nowMs + keepMs)
+        record.jobs[key] = Entry(turn, NOTED, digest, by, None, now_ms + keep_ms)
         self.kept(name, session, record, reply, [1])
 
-    def onMark(self, peer, body, reply):
+    def on_mark(self, peer, body, reply):
         """What became of a noted job; whoever holds the session by now."""
         name, epoch, session, key, fields, pins = body
         group = self.able(name, epoch)
         if group is None:
             reply([-1])
             return
-        comer = entryFrom(fields, self.context.nowMs())
-        record = self.recordOf(group, session)
+        comer = entry_from(fields, self.context.now_ms())
+        record = self.record_of(group, session)
         entry = record.jobs.get(key)
         if entry is None or comer.rank() > entry.rank():
             record.jobs[key] = comer
         record.pins.update(pins)
         self.kept(name, session, record, reply, [1])
 
-    def onLook(self, peer, body, reply):
+    def on_look(self, peer, body, reply):
         """What is known of a session, without taking it."""
         name, epoch, session = body
         group = self.able(name, epoch)
         record = group.records.get(session) if group is not None else None
-        reply([0 if group is None else 1, record.fields(self.context.nowMs()) if record is not None else None])
+        reply([0 if group is None else 1, record.fields(self.context.now_ms()) if record is not None else None])
 
     def stand(self):
         """Counts for the tools; no names of sessions."""
@@ -275,7 +275,7 @@
         return {**self.counts, "held": sum(len(group.records) for group in self.groups.values()),
                 "unknown": sum(1 for entry in jobs if entry.state == UNKNOWN),
                 "groups": {name: {"epoch": group.epoch, "members": list(group.members),
-                                  "learned": group.learnedEpoch >= group.epoch}
+                                  "learned": group.learned_epoch >= group.epoch}
                            for name, group in self.groups.items() if self.board.address in group.members}}
 
 
--- a/stagevale/affinity/log.py
+++ b/stagevale/affinity/log.py
@@ -2,7 +2,7 @@
 import re
 
 from stagevale import wire
-from stagevale.configuration.disk import readTable, writeTable
+from stagevale.configuration.disk import read_table, write_table
 
 NAME = re.compile(r"^batch-(\d+)\.dir$")
 BATCHES_KEPT = 64
@@ -32,13 +32,13 @@
         return rows
 
     def read(self, number):
-        data = readTable(self.folder, f"batch-{number}", b"rows")
+        data = read_table(self.folder, f"batch-{number}", b"rows")
         if data is None:
             return None
         _, whole, rows = wire.unpack(wire.unsqueeze(data), "load", "disk")
         return whole, rows
 
-    def wantsWhole(self):
+    def wants_whole(self):
         """True where so many batches stand that one whole one should take their place."""
         return self.number - self.oldest >= BATCHES_KEPT
 
@@ -46,7 +46,7 @@
         """Writes a batch, syncs it, and drops what a whole one replaces."""
         number = self.number + 1
         self.number = number
-        writeTable(self.folder, f"batch-{number}", b"rows", wire.squeeze(wire.pack([0, 1 if whole else 0, rows])))
+        write_table(self.folder, f"batch-{number}", b"rows", wire.squeeze(wire.pack([0, 1 if whole else 0, rows])))
         if whole:
             for old in range(self.oldest, number):
                 for ending in (".dir", ".dat", ".bak"):
--- a/stagevale/balancing/__init__.py
+++ b/stagevale/balancing/__init__.py
@@ -18,9 +18,9 @@
 class Target:
     """One life of an endpoint as this proxy uses it: what is told of it and what was learned by use."""
 
-    __slots__ = ("id", "service", "address", "area", "region", "slots", "state", "sound", "coldSeq", "coldUntilMs",
-                 "outstanding", "idle", "open", "speed", "others", "othersMs", "ejectUntilMs", "problems", "coldSent",
-                 "gone", "silentSinceMs", "answeredMs", "agreedOf", "agreed", "software")
+    __slots__ = ("id", "service", "address", "area", "region", "slots", "state", "sound", "cold_seq", "cold_until_ms",
+                 "outstanding", "idle", "open", "speed", "others", "others_ms", "eject_until_ms", "problems", "cold_sent",
+                 "gone", "silent_since_ms", "answered_ms", "agreed_of", "agreed", "software")
 
     def __init__(self, id, service, address, area, region, slots, software=""):
         self.id = id
@@ -31,56 +31,56 @@
         self.slots = max(1, slots)
         self.state = READY
         self.sound = True
-        self.coldSeq = 0
-        self.coldUntilMs = 0.0
+        self.cold_seq = 0
+        self.cold_until_ms = 0.0
         self.outstanding = 0
         self.idle = []
         self.open = 0
         self.speed = 1.0
         self.others = 0.0
-        self.othersMs = 0.0
-        self.ejectUntilMs = 0.0
+        self.others_ms = 0.0
+        self.eject_until_ms = 0.0
         self.problems = 0
-        self.coldSent = []
+        self.cold_sent = []
         self.gone = False
-        self.silentSinceMs = 0.0
-        self.answeredMs = 0.0
-        self.agreedOf = None
+        self.silent_since_ms = 0.0
+        self.answered_ms = 0.0
+        self.agreed_of = None
         self.agreed = False
         self.software = software
 
-    def took(self, nowMs):
+    def took(self, now_ms):
         """Counts a job that is given to the endpoint."""
         if self.outstanding == 0:
-            self.silentSinceMs = nowMs
+            self.silent_since_ms = now_ms
         self.outstanding += 1
 
-    def gave(self, nowMs):
+    def gave(self, now_ms):
         """Counts a job that the endpoint is done with."""
         self.outstanding -= 1
-        self.silentSinceMs = nowMs
+        self.silent_since_ms = now_ms
 
-    def silentMs(self, nowMs):
+    def silent_ms(self, now_ms):
         """For how long the endpoint has had jobs and given nothing back."""
-        return nowMs - self.silentSinceMs if self.outstanding > 0 else 0.0
+        return now_ms - self.silent_since_ms if self.outstanding > 0 else 0.0
 
-    def load(self, nowMs):
+    def load(self, now_ms):
         """Jobs thought to be at the endpoint now: this proxy's and, fading, what others had there."""
-        ageMs = nowMs - self.othersMs
-        return self.outstanding + (self.others * max(0.0, 1.0 - ageMs / 1500.0) if self.others else 0.0)
+        age_ms = now_ms - self.others_ms
+        return self.outstanding + (self.others * max(0.0, 1.0 - age_ms / 1500.0) if self.others else 0.0)
 
-    def told(self, running, waiting, nowMs):
+    def told(self, running, waiting, now_ms):
         """Takes in a `Server-Load`."""
         self.others = max(0.0, running + waiting - self.outstanding)
-        self.othersMs = nowMs
+        self.others_ms = now_ms
 
-    def failed(self, nowMs, baseMs, warmupMs, outage):
+    def failed(self, now_ms, base_ms, warmup_ms, outage):
         """Notes passive evidence against the endpoint: it rests for a while, and may come back cold."""
         self.problems += 1
         if outage or self.problems >= 3:
-            self.ejectUntilMs = nowMs + baseMs * min(8, 2 ** max(0, self.problems - 1))
+            self.eject_until_ms = now_ms + base_ms * min(8, 2 ** max(0, self.problems - 1))
         if outage:
-            self.coldUntilMs = max(self.coldUntilMs, self.ejectUntilMs + warmupMs)
+            self.cold_until_ms = max(self.cold_until_ms, self.eject_until_ms + warmup_ms)
 
     def served(self):
         self.problems = 0
@@ -89,170 +89,170 @@
 class Chooser:
     """Chooses among allowed endpoints by expected time, nearness and own outstanding jobs."""
 
-    __slots__ = ("context", "work", "address", "rttMs", "bytes", "meanBytes", "serviceWork", "policy", "lease",
+    __slots__ = ("context", "work", "address", "rtt_ms", "bytes", "mean_bytes", "service_work", "policy", "lease",
                  "steering")
 
     def __init__(self, context, address):
         self.context = context
         self.address = address
         self.work = {}
-        self.rttMs = {}
+        self.rtt_ms = {}
         self.bytes = {}
-        self.meanBytes = 2000.0
-        self.serviceWork = {}
+        self.mean_bytes = 2000.0
+        self.service_work = {}
         self.policy = None
         self.lease = None
         self.steering = None
 
-    def workMs(self, route):
+    def work_ms(self, route):
         """What a job of this route takes at an endpoint of usual speed, as learned."""
-        return self.work.get(route.name) or route.targetMs * 0.25
+        return self.work.get(route.name) or route.target_ms * 0.25
 
     def weigh(self, route, size):
         """Learns how many bytes a job of this route moves, against the mean of all jobs."""
         known = self.bytes.get(route.name)
         self.bytes[route.name] = size if known is None else known + 0.05 * (size - known)
-        self.meanBytes += 0.01 * (size - self.meanBytes)
+        self.mean_bytes += 0.01 * (size - self.mean_bytes)
 
     def bulk(self, route):
         """How dear it is to carry a job of this route far: its bytes against the mean, within bounds."""
-        return min(3.0, max(0.3, self.bytes.get(route.name, self.meanBytes) / self.meanBytes))
+        return min(3.0, max(0.3, self.bytes.get(route.name, self.mean_bytes) / self.mean_bytes))
 
-    def learn(self, route, target, tookMs, wasQueued):
+    def learn(self, route, target, took_ms, was_queued):
         """Learns from a served job."""
-        work = self.workMs(route)
-        rtt = self.rttMs.get(target.region)
+        work = self.work_ms(route)
+        rtt = self.rtt_ms.get(target.region)
         if target.region != self.context.settings.region:
-            tookMs -= min(rtt if rtt is not None else 0.0, tookMs * 0.8)
-        if wasQueued:
+            took_ms -= min(rtt if rtt is not None else 0.0, took_ms * 0.8)
+        if was_queued:
             return
-        mixed = self.serviceWork.get(target.service)
-        plainMs = tookMs / target.speed
-        self.serviceWork[target.service] = plainMs if mixed is None else mixed + 0.03 * (plainMs - mixed)
-        ratio = min(8.0, max(0.15, tookMs / work))
+        mixed = self.service_work.get(target.service)
+        plain_ms = took_ms / target.speed
+        self.service_work[target.service] = plain_ms if mixed is None else mixed + 0.03 * (plain_ms - mixed)
+        ratio = min(8.0, max(0.15, took_ms / work))
         target.speed += 0.15 * (ratio - target.speed)
-        self.work[route.name] = work + 0.05 * (tookMs / target.speed - work)
+        self.work[route.name] = work + 0.05 * (took_ms / target.speed - work)
 
-    def connected(self, target, tookMs):
+    def connected(self, target, took_ms):
         """Learns the way to a region from how long opening a stream took."""
-        known = self.rttMs.get(target.region)
-        self.rttMs[target.region] = tookMs if known is None else known + 0.2 * (tookMs - known)
+        known = self.rtt_ms.get(target.region)
+        self.rtt_ms[target.region] = took_ms if known is None else known + 0.2 * (took_ms - known)
 
-    def wayMs(self, target):
+    def way_ms(self, target):
         """About how long a job's bytes take to an endpoint."""
         if target.region == self.context.settings.region:
             return 0.0
-        return self.rttMs.get(target.region, 0.0) / 2.0
+        return self.rtt_ms.get(target.region, 0.0) / 2.0
 
-    def mayUseCold(self, target, digest, service, nowMs):
+    def may_use_cold(self, target, digest, service, now_ms):
         """While an endpoint is cold only few, agreed proxies use it, each with its share of what it bears."""
         if not self.agreed(target, digest):
             return False
-        target.coldSent = [sentMs for sentMs in target.coldSent if nowMs - sentMs < 1100.0]
+        target.cold_sent = [sent_ms for sent_ms in target.cold_sent if now_ms - sent_ms < 1100.0]
         bounds = self.context.settings.bounds
-        most = (service.coldPerS * bounds.coldExcess + bounds.coldMargin) * 0.6
-        share = max(1, int(min(service.coldPerS, most) / COLD_PROXIES))
-        return len(target.coldSent) < share
+        most = (service.cold_per_s * bounds.cold_excess + bounds.cold_margin) * 0.6
+        share = max(1, int(min(service.cold_per_s, most) / COLD_PROXIES))
+        return len(target.cold_sent) < share
 
     def agreed(self, target, digest):
         """True where this proxy is among the few that use the endpoint while it is cold; looked up once for each set of
         proxies, since a large fleet would be sorted for each cold endpoint at each request."""
-        if target.agreedOf is not digest.proxies:
-            target.agreedOf = digest.proxies
+        if target.agreed_of is not digest.proxies:
+            target.agreed_of = digest.proxies
             ranked = heapq.nsmallest(COLD_PROXIES, digest.proxies, key=lambda proxy: (
                 proxy[1] != target.area, proxy[2] != target.region, zlib.crc32(f"{target.id} {proxy[0]}".encode())))
             target.agreed = any(proxy[0] == self.address for proxy in ranked)
         return target.agreed
 
-    def choose(self, job, digest, nowMs):
+    def choose(self, job, digest, now_ms):
         """The target for a job, or None; sets how long the best would take in `job.expectedMs`. Under a rollout a job of
         the new side that finds none there goes to the stable one."""
         rollout = digest.rollouts.get(job.service) if digest.rollouts else None
         targets = digest.targets.get(job.service, ())
         if rollout is None:
-            return self.chooseSteered(targets, job, digest, nowMs)
-        if self.lease.holds(nowMs) and rollout.side(job.splitKey()):
-            target = self.chooseSteered([t for t in targets if rollout.allows(1, t.software)], job, digest, nowMs)
+            return self.choose_steered(targets, job, digest, now_ms)
+        if self.lease.holds(now_ms) and rollout.side(job.split_key()):
+            target = self.choose_steered([t for t in targets if rollout.allows(1, t.software)], job, digest, now_ms)
             if target is not None:
                 return target
-        return self.chooseSteered([t for t in targets if rollout.allows(0, t.software)], job, digest, nowMs)
+        return self.choose_steered([t for t in targets if rollout.allows(0, t.software)], job, digest, now_ms)
 
-    def chooseSteered(self, targets, job, digest, nowMs):
+    def choose_steered(self, targets, job, digest, now_ms):
         """Where steering is on, the best target of the region that the job is steered to, if it has a free slot; else
         the best of all."""
         if self.steering is None:
-            return self.chooseAmong(targets, job, digest, nowMs)
-        region = self.steeredTo(job, targets, digest, nowMs)
-        target = self.chooseAmong([t for t in targets if t.region == region], job, digest, nowMs, region)
-        if target is not None and target.load(nowMs) < target.slots:
+            return self.choose_among(targets, job, digest, now_ms)
+        region = self.steered_to(job, targets, digest, now_ms)
+        target = self.choose_among([t for t in targets if t.region == region], job, digest, now_ms, region)
+        if target is not None and target.load(now_ms) < target.slots:
             return target
-        return self.chooseAmong(targets, job, digest, nowMs, region)
+        return self.choose_among(targets, job, digest, now_ms, region)
 
-    def mayUse(self, target, digest, nowMs):
+    def may_use(self, target, digest, now_ms):
         """Looks again, at the moment of writing, whether a rollout lets this endpoint take anything."""
         rollout = digest.rollouts.get(target.service) if digest.rollouts else None
         return (rollout is None or rollout.allows(0, target.software)
-                or rollout.allows(1, target.software) and self.lease.holds(nowMs))
+                or rollout.allows(1, target.software) and self.lease.holds(now_ms))
 
-    def steeredTo(self, job, targets, digest, nowMs):
+    def steered_to(self, job, targets, digest, now_ms):
         """The region that this job is steered to, among those in which it may be served at all."""
         regions = {target.region for target in targets
                    if target.state == READY and not target.gone and target.sound and target.area not in digest.evacuated
                    and not any(target.region not in homes for homes in job.homes)}
-        return self.steering.choose(job.service, regions, self.workMs(job.route), job.route.targetMs, self.bulk(job.route),
-                                    job.route.pure, nowMs, self.context.settings.bounds.contactMs / 80.0)
+        return self.steering.choose(job.service, regions, self.work_ms(job.route), job.route.target_ms, self.bulk(job.route),
+                                    job.route.pure, now_ms, self.context.settings.bounds.contact_ms / 80.0)
 
-    def chooseAmong(self, targets, job, digest, nowMs, steered=None):
+    def choose_among(self, targets, job, digest, now_ms, steered=None):
         """The target with the least cost among these, or None."""
         route = job.route
         settings = self.context.settings
-        work = self.workMs(route)
+        work = self.work_ms(route)
         service = digest.services.get(job.service)
         if service is None:
             return None
-        mixed = self.serviceWork.get(job.service, work)
+        mixed = self.service_work.get(job.service, work)
         bulk = self.bulk(route)
-        leftMs = route.targetMs - (nowMs - job.startMs)
-        best, bestCost = None, None
-        job.expectedMs = None
-        share = max(2, service.maxConns // (len(digest.proxies) + 2))
+        left_ms = route.target_ms - (now_ms - job.start_ms)
+        best, best_cost = None, None
+        job.expected_ms = None
+        share = max(2, service.max_conns // (len(digest.proxies) + 2))
         for target in targets:
             if (target.state != READY or target.gone or not target.sound or target.area in digest.evacuated
                     or target.id in job.tried or any(target.region not in homes for homes in job.homes)
-                    or nowMs < target.ejectUntilMs):
+                    or now_ms < target.eject_until_ms):
                 continue
-            load = target.load(nowMs)
+            load = target.load(now_ms)
             if target.outstanding >= target.slots * QUEUE_FACTOR or load >= target.slots * 3:
                 continue
             if not target.idle and target.open >= share:
                 continue
-            if nowMs < target.coldUntilMs and not self.mayUseCold(target, digest, service, nowMs):
+            if now_ms < target.cold_until_ms and not self.may_use_cold(target, digest, service, now_ms):
                 continue
             ahead = max(0.0, load + 1 - target.slots) / target.slots
             speed = target.speed
-            if steered is not None and nowMs - target.answeredMs > self.steering.memory_ms:
-                speed = self.steering.slowness(job.service, target.region, nowMs)
-            tookMs = speed * (work + mixed * ahead)
-            if nowMs < target.coldUntilMs:
-                tookMs *= 2.0
-            cost = tookMs
+            if steered is not None and now_ms - target.answered_ms > self.steering.memory_ms:
+                speed = self.steering.slowness(job.service, target.region, now_ms)
+            took_ms = speed * (work + mixed * ahead)
+            if now_ms < target.cold_until_ms:
+                took_ms *= 2.0
+            cost = took_ms
             if target.region != settings.region:
-                rtt = self.rttMs.get(target.region, settings.bounds.contactMs / 80.0)
-                tookMs += rtt if target.idle else 2 * rtt
-                cost = tookMs + (route.targetMs * REGION_COST * bulk if steered is None
-                                 else self.steering.price_ms(target.region, route.targetMs, bulk))
+                rtt = self.rtt_ms.get(target.region, settings.bounds.contact_ms / 80.0)
+                took_ms += rtt if target.idle else 2 * rtt
+                cost = took_ms + (route.target_ms * REGION_COST * bulk if steered is None
+                                 else self.steering.price_ms(target.region, route.target_ms, bulk))
             elif target.area != settings.area:
-                cost = tookMs + route.targetMs * AREA_COST * bulk
+                cost = took_ms + route.target_ms * AREA_COST * bulk
             if steered is not None and target.region != steered:
-                cost += route.targetMs * REGION_COST
+                cost += route.target_ms * REGION_COST
             if target.id == job.prefers:
                 cost *= KEEP_COST
-            cost += SILENCE_COST * max(0.0, target.silentMs(nowMs) - SILENCE_EXPECTED * mixed * target.speed)
-            cost += max(0.0, tookMs * LATE_MARGIN - leftMs) * LATE_COST
+            cost += SILENCE_COST * max(0.0, target.silent_ms(now_ms) - SILENCE_EXPECTED * mixed * target.speed)
+            cost += max(0.0, took_ms * LATE_MARGIN - left_ms) * LATE_COST
             if self.policy is not None:
                 cost = self.policy.cost(job, target, cost, load)
             cost *= 1.0 + 0.05 * self.context.random.random()
-            if bestCost is None or cost < bestCost:
-                best, bestCost = target, cost
-                job.expectedMs = tookMs
+            if best_cost is None or cost < best_cost:
+                best, best_cost = target, cost
+                job.expected_ms = took_ms
         return best
--- a/stagevale/balancing/budget.py
+++ b/stagevale/balancing/budget.py
@@ -8,36 +8,36 @@
 class Budget:
     """Jobs and further tries of one service in the sliding window, as this proxy has seen them."""
 
-    __slots__ = ("ratio", "extra", "bucketMs", "windowMs", "bornMs", "jobs", "spent")
-
-    def __init__(self, bounds, nowMs):
-        self.ratio = bounds.retryRatio
-        self.extra = bounds.retryExtra
-        self.windowMs = bounds.retryWindowS * 1000.0
-        self.bucketMs = self.windowMs / BUCKETS
-        self.bornMs = nowMs
+    __slots__ = ("ratio", "extra", "bucket_ms", "window_ms", "born_ms", "jobs", "spent")
+
+    def __init__(self, bounds, now_ms):
+        self.ratio = bounds.retry_ratio
+        self.extra = bounds.retry_extra
+        self.window_ms = bounds.retry_window_s * 1000.0
+        self.bucket_ms = self.window_ms / BUCKETS
+        self.born_ms = now_ms
         self.jobs = {}
         self.spent = {}
 
-    def note(self, nowMs):
+    def note(self, now_ms):
         """Counts a job of this service."""
-        bucket = int(nowMs / self.bucketMs)
+        bucket = int(now_ms / self.bucket_ms)
         self.jobs[bucket] = self.jobs.get(bucket, 0) + 1
         if len(self.jobs) > BUCKETS + 2:
             for old in [kept for kept in self.jobs if kept < bucket - BUCKETS]:
                 del self.jobs[old]
 
-    def allows(self, nowMs, proxies):
+    def allows(self, now_ms, proxies):
         """True where one more arrival fits this proxy's share; `proxies` is how many share the budget."""
-        bucket = int(nowMs / self.bucketMs)
+        bucket = int(now_ms / self.bucket_ms)
         for old in [kept for kept in self.spent if kept < bucket - BUCKETS - 1]:
             del self.spent[old]
         jobs = sum(count for kept, count in self.jobs.items() if kept >= bucket - BUCKETS + 1)
-        grown = min(1.0, (nowMs - self.bornMs) / self.windowMs)
+        grown = min(1.0, (now_ms - self.born_ms) / self.window_ms)
         share = self.ratio * RATIO_SHARE * jobs + self.extra * EXTRA_SHARE * grown / max(1, proxies + 1)
         return sum(self.spent.values()) + 1 <= share
 
-    def spend(self, nowMs):
+    def spend(self, now_ms):
         """Counts an arrival beyond the first of its job."""
-        bucket = int(nowMs / self.bucketMs)
+        bucket = int(now_ms / self.bucket_ms)
         self.spent[bucket] = self.spent.get(bucket, 0) + 1
--- a/stagevale/balancing/digest.py
+++ b/stagevale/balancing/digest.py
@@ -1,8 +1,8 @@
 """The proxy's digest: routes, services, evacuations and members at one moment, swapped whole."""
 import json
 
-from stagevale.partners import NO_TABLE, mergedTable
-from stagevale.tenants import readKeys
+from stagevale.partners import NO_TABLE, merged_table
+from stagevale.tenants import read_keys
 
 
 KEEP_S = 600
@@ -11,26 +11,26 @@
 class Affinity:
     """How a route's sessions are told apart, and for how long their jobs are remembered."""
 
-    __slots__ = ("header", "keepMs")
+    __slots__ = ("header", "keep_ms")
 
     def __init__(self, row):
         self.header = row["header"].lower().encode()
-        self.keepMs = int(row.get("keepS", KEEP_S) * 1000)
+        self.keep_ms = int(row.get("keepS", KEEP_S) * 1000)
 
 
 class Route:
     """One route of the configuration."""
 
-    __slots__ = ("name", "pure", "timeoutMs", "targetMs", "priority", "maxAttempts", "homes", "shares", "total",
+    __slots__ = ("name", "pure", "timeout_ms", "target_ms", "priority", "max_attempts", "homes", "shares", "total",
                  "public", "cacheable", "partner", "affinity")
 
     def __init__(self, row):
         self.name = row.get("name", "")
         self.pure = row.get("variant", "effectful") == "pure"
-        self.timeoutMs = float(row["timeoutMs"])
-        self.targetMs = float(row.get("targetMs") or row["timeoutMs"])
+        self.timeout_ms = float(row["timeoutMs"])
+        self.target_ms = float(row.get("targetMs") or row["timeoutMs"])
         self.priority = row.get("priority", 0)
-        self.maxAttempts = int(row.get("maxAttempts") or 1)
+        self.max_attempts = int(row.get("maxAttempts") or 1)
         self.homes = frozenset(row.get("homeRegions") or ())
         self.public = bool(row.get("public"))
         self.cacheable = bool(row.get("cacheable"))
@@ -55,25 +55,25 @@
 class Service:
     """What the configuration says of one service."""
 
-    __slots__ = ("name", "maxConns", "warmupMs", "coldPerS")
+    __slots__ = ("name", "max_conns", "warmup_ms", "cold_per_s")
 
     def __init__(self, row):
         self.name = row["name"]
-        self.maxConns = int(row.get("maxConns") or 100)
-        self.warmupMs = float(row.get("warmupS") or 0) * 1000.0
-        self.coldPerS = float(row.get("coldPerS") or 0)
+        self.max_conns = int(row.get("maxConns") or 100)
+        self.warmup_ms = float(row.get("warmupS") or 0) * 1000.0
+        self.cold_per_s = float(row.get("coldPerS") or 0)
 
 
 class Limits:
     """What a client may send, and how long it may take."""
 
-    __slots__ = ("headerMaxBytes", "bodyMaxBytes", "headerReadMs", "idleMs")
+    __slots__ = ("header_max_bytes", "body_max_bytes", "header_read_ms", "idle_ms")
 
     def __init__(self, row):
-        self.headerMaxBytes = int(row.get("headerMaxBytes") or 16384)
-        self.bodyMaxBytes = int(row.get("bodyMaxBytes") or 64 * 1024 * 1024)
-        self.headerReadMs = float(row.get("headerReadMs") or 3000)
-        self.idleMs = float(row.get("idleMs") or 15000)
+        self.header_max_bytes = int(row.get("headerMaxBytes") or 16384)
+        self.body_max_bytes = int(row.get("bodyMaxBytes") or 64 * 1024 * 1024)
+        self.header_read_ms = float(row.get("headerReadMs") or 3000)
+        self.idle_ms = float(row.get("idleMs") or 15000)
 
 
 class Digest:
@@ -103,7 +103,7 @@
                 return route
         return None
 
-    def partnerRoute(self, host, path, area, region, tenant):
+    def partner_route(self, host, path, area, region, tenant):
         """The partner's route that takes a job for which no own route is there, or None."""
         row = self.partners.find(host, path, area, region, tenant)
         if row is None:
@@ -118,13 +118,13 @@
         fields = {name: getattr(self, name) for name in Digest.__slots__}
         return Digest(**{**fields, **changes})
 
-    def withTargets(self, targets):
+    def with_targets(self, targets):
         return self.with_(targets=targets)
 
-    def withProxies(self, proxies):
+    def with_proxies(self, proxies):
         return self.with_(proxies=proxies)
 
-    def withValue(self, value):
+    def with_value(self, value):
         """This digest with another epoch of the register's value."""
         rollouts = None
         if value.rollouts:
@@ -141,10 +141,10 @@
         services = {row["name"]: Service(row) for row in table["services"]}
         return Digest(value.serial, {host: tuple(rows) for host, rows in hosts.items()}, services,
                       Limits(table.get("limits") or {}), frozenset(value.evacuated), self.targets, self.proxies,
-                      readKeys(table.get("tenants")),
-                      mergedTable(table, value.offers) if value.offers else NO_TABLE, value.sessions, rollouts)
+                      read_keys(table.get("tenants")),
+                      merged_table(table, value.offers) if value.offers else NO_TABLE, value.sessions, rollouts)
 
 
-def emptyDigest():
+def empty_digest():
     """What a proxy holds before it has heard anything."""
     return Digest(-1, {}, {}, Limits({}), frozenset(), {}, ())
--- a/stagevale/balancing/policies.py
+++ b/stagevale/balancing/policies.py
@@ -30,7 +30,7 @@
     """A policy that can't be used; the message says why."""
 
 
-def firstLine(problem):
+def first_line(problem):
     return (str(problem).splitlines() or ["out of memory"])[0]
 
 
@@ -46,7 +46,7 @@
             self.lua = lua54.LuaRuntime(max_memory=MEMORY_BYTES, register_eval=False, register_builtins=False)
             self.call = self.lua.execute(GUARD)(source, STEPS)
         except (lua54.LuaError, MemoryError) as problem:
-            raise PolicyProblem(firstLine(problem)) from None
+            raise PolicyProblem(first_line(problem)) from None
 
     def cost(self, job, target, cost, load):
         """The policy's cost for this endpoint, or the built-in one where the policy fails."""
@@ -54,7 +54,7 @@
             return cost
         try:
             own = self.call(self.lua.table(route=job.route.name, service=job.service, pure=job.route.pure,
-                                           priority=job.route.priority, targetMs=job.route.targetMs),
+                                           priority=job.route.priority, target_ms=job.route.target_ms),
                             self.lua.table(id=target.id, area=target.area, region=target.region, slots=target.slots,
                                            load=load, speed=target.speed, cost=cost))
             if isinstance(own, bool) or not isinstance(own, (int, float)) or not 0 <= own < 1e12:
@@ -62,12 +62,12 @@
             return float(own)
         except (lua54.LuaError, MemoryError, PolicyProblem) as problem:
             self.problems += 1
-            self.log.warning("policy: %s%s.", firstLine(problem),
+            self.log.warning("policy: %s%s.", first_line(problem),
                              "; it is left out from now on" if self.problems >= PROBLEMS_BORNE else "")
             return cost
 
 
-def loadPolicy(path, log):
+def load_policy(path, log):
     """The policy in a file; raises PolicyProblem with the file's name."""
     try:
         with open(path, encoding="utf-8") as file:
--- a/stagevale/ballots/__init__.py
+++ b/stagevale/ballots/__init__.py
@@ -3,7 +3,7 @@
 NO_BALLOT = (0, "")
 
 
-def asBallot(fields):
+def as_ballot(fields):
     """A ballot out of a message: (round, address)."""
     number, address = fields
     if not isinstance(number, int) or not isinstance(address, str):
--- a/stagevale/commands.py
+++ b/stagevale/commands.py
@@ -59,7 +59,7 @@
         print findings as JSON.
     """
     from stagevale import doctoring
-    from stagevale.settings import SettingsProblem, splitAddress
+    from stagevale.settings import SettingsProblem, split_address
     if not (settings or deploy or config or control):
         return misuse("doctor: name at least one of --settings, --deploy, --config, --control")
     if (directory or ready) and not control:
@@ -67,7 +67,7 @@
     try:
         for name, address in (("--control", control), ("--directory", directory), ("--ready", ready)):
             if address:
-                splitAddress(address, name)
+                split_address(address, name)
     except SettingsProblem as problem:
         return misuse(f"doctor: {problem}")
     for name, path in (("--settings", settings), ("--deploy", deploy), ("--config", config)):
@@ -79,13 +79,13 @@
                 return misuse(f"doctor: {name}: {path} can't be read: {getattr(problem, 'strerror', None) or problem}")
     found = []
     if settings:
-        found += doctoring.checkSettings(settings)
+        found += doctoring.check_settings(settings)
     if deploy:
-        found += doctoring.checkDeploy(deploy)
+        found += doctoring.check_deploy(deploy)
     if config:
-        found += doctoring.checkConfig(config)
+        found += doctoring.check_config(config)
     if control:
-        found += doctoring.checkSystem(control, directory, ready=ready)
+        found += doctoring.check_system(control, directory, ready=ready)
     if json_:
         print(json.dumps({"findings": [finding.row() for finding in found]}, indent=1))
     else:
@@ -114,13 +114,13 @@
     """
     from stagevale import rehearsing
     from stagevale.doctoring import ask
-    from stagevale.settings import Bounds, SettingsProblem, splitAddress
+    from stagevale.settings import Bounds, SettingsProblem, split_address
     if not 1 <= seconds <= 600:
         return misuse(f"rehearse: --seconds: want 1 to 600, got {seconds}")
     stands, config = [], None
     for address in control:
         try:
-            splitAddress(address, "--control")
+            split_address(address, "--control")
         except SettingsProblem as problem:
             return misuse(f"rehearse: {problem}")
         status, stand = ask(address, "/v1/stand")
@@ -153,7 +153,7 @@
             print(f"    {name:5} " + "  ".join(f"{place} {share:.0%}" for place, share in shares.items()))
         if not row["homeLeft"]:
             print(f"    no home is left: its homes are {', '.join(row['homes'])}")
-    print("\nfronts, jobs a second: " + "  ".join(f"{front} {perS}" for front, perS in table["fronts"].items()))
+    print("\nfronts, jobs a second: " + "  ".join(f"{front} {per_s}" for front, per_s in table["fronts"].items()))
     return FINDINGS if hurt else 0
 
 
@@ -161,23 +161,23 @@
 cli.command(partners)
 
 
-def askControls(step, control, path, method="GET", body=None, timeoutS=10.0):
+def ask_controls(step, control, path, method="GET", body=None, timeout_s=10.0):
     """Asks one control address after the other until one gives a clear answer: (address, status, answer)."""
     from stagevale.doctoring import ask
-    from stagevale.settings import SettingsProblem, splitAddress
+    from stagevale.settings import SettingsProblem, split_address
     for address in control:
         try:
-            splitAddress(address, "--control")
+            split_address(address, "--control")
         except SettingsProblem as problem:
             return address, None, f"{step}: {problem}"
     for address in control:
-        status, answer = ask(address, path, timeoutS, method, body)
+        status, answer = ask(address, path, timeout_s, method, body)
         if status is not None and status not in (408, 429) and status < 500:
             break
     return address, status, answer
 
 
-def orderOutcome(step, outcome, done):
+def order_outcome(step, outcome, done):
     """What to print and the exit code for an order: 0 done, 1 the system said no or can't be reached."""
     address, status, answer = outcome
     if status == 200:
@@ -209,8 +209,8 @@
             body = handle.read()
     except OSError as problem:
         return misuse(f"partners offer: {file} can't be read: {problem.strerror}")
-    outcome = askControls("partners offer", control, f"/v1/partners/{quote(name, safe='')}/offer", "PUT", body, 15.0)
-    return orderOutcome("partners offer", outcome, f"{name}: the offer is in force")
+    outcome = ask_controls("partners offer", control, f"/v1/partners/{quote(name, safe='')}/offer", "PUT", body, 15.0)
+    return order_outcome("partners offer", outcome, f"{name}: the offer is in force")
 
 
 @partners.command
@@ -225,9 +225,9 @@
         ip:port of a registry's control; more than one are tried in turn.
     """
     from urllib.parse import quote
-    outcome = askControls("partners withdraw", control, f"/v1/partners/{quote(name, safe='')}/offer", "DELETE",
+    outcome = ask_controls("partners withdraw", control, f"/v1/partners/{quote(name, safe='')}/offer", "DELETE",
                           None, 15.0)
-    return orderOutcome("partners withdraw", outcome, f"{name}: withdrawn")
+    return order_outcome("partners withdraw", outcome, f"{name}: withdrawn")
 
 
 @partners.command
@@ -242,11 +242,11 @@
         print what was heard as JSON.
     """
     from stagevale.doctoring import ask
-    from stagevale.settings import SettingsProblem, splitAddress
+    from stagevale.settings import SettingsProblem, split_address
     heard, faults = {}, []
     for address in control:
         try:
-            splitAddress(address, "--control")
+            split_address(address, "--control")
         except SettingsProblem as problem:
             return misuse(f"partners show: {problem}")
         status, table = ask(address, "/v1/partners", 10.0)
@@ -301,11 +301,11 @@
     """
     from urllib.parse import urlencode
     query = urlencode({"host": host, "path": path, "zone": zone, "tenant": tenant})
-    address, status, answer = askControls("partners explain", control, f"/v1/partners/explain?{query}")
+    address, status, answer = ask_controls("partners explain", control, f"/v1/partners/explain?{query}")
     if status == 400 and isinstance(answer, dict):
         return misuse(f"partners explain: {answer.get('error')}")
     if status != 200:
-        return orderOutcome("partners explain", (address, status, answer), "")
+        return order_outcome("partners explain", (address, status, answer), "")
     if json_:
         print(json.dumps(answer, indent=1))
         return 0 if answer["won"] else FINDINGS
@@ -340,8 +340,8 @@
             body = handle.read()
     except OSError as failure:
         return misuse(f"rollouts start: {file} can't be read: {failure.strerror}")
-    outcome = askControls("rollouts start", control, f"/v1/rollouts/{quote(service, safe='')}", "PUT", body)
-    return orderOutcome("rollouts start", outcome, f"{service}: the rollout has started")
+    outcome = ask_controls("rollouts start", control, f"/v1/rollouts/{quote(service, safe='')}", "PUT", body)
+    return order_outcome("rollouts start", outcome, f"{service}: the rollout has started")
 
 
 @rollouts.command(name="show")
@@ -359,9 +359,9 @@
     """
     from urllib.parse import quote
     path = f"/v1/rollouts/{quote(service, safe='')}" if service else "/v1/rollouts"
-    address, status, answer = askControls("rollouts show", control, path)
+    address, status, answer = ask_controls("rollouts show", control, path)
     if status != 200:
-        return orderOutcome("rollouts show", (address, status, answer), "")
+        return order_outcome("rollouts show", (address, status, answer), "")
     rows = [answer] if service else answer["rollouts"]
     worry = any(row["state"] == "fallen" or row["warnings"] for row in rows)
     if json_:
@@ -385,9 +385,9 @@
 
 def move_rollout(order, service, control, done):
     from urllib.parse import quote
-    outcome = askControls(f"rollouts {order}", control, f"/v1/rollouts/{quote(service, safe='')}/{order}", "POST", None,
+    outcome = ask_controls(f"rollouts {order}", control, f"/v1/rollouts/{quote(service, safe='')}/{order}", "POST", None,
                           15.0)
-    return orderOutcome(f"rollouts {order}", outcome, f"{service}: {done}")
+    return order_outcome(f"rollouts {order}", outcome, f"{service}: {done}")
 
 
 @rollouts.command
@@ -418,8 +418,8 @@
 def end_rollout(service: str, *, control: list[str]):
     """End a rollout: back to the ordinary choice among all versions; exit 0 done, 1 refused, 2 misuse."""
     from urllib.parse import quote
-    outcome = askControls("rollouts end", control, f"/v1/rollouts/{quote(service, safe='')}", "DELETE")
-    return orderOutcome("rollouts end", outcome, f"{service}: ended")
+    outcome = ask_controls("rollouts end", control, f"/v1/rollouts/{quote(service, safe='')}", "DELETE")
+    return order_outcome("rollouts end", outcome, f"{service}: ended")
 
 
 @cli.command
@@ -438,11 +438,11 @@
         print the rows as JSON.
     """
     from stagevale.doctoring import ask
-    from stagevale.settings import SettingsProblem, splitAddress
+    from stagevale.settings import SettingsProblem, split_address
     rows, faults = [], []
     for address in control:
         try:
-            splitAddress(address, "--control")
+            split_address(address, "--control")
         except SettingsProblem as failure:
             return misuse(f"delays: {failure}")
         status, stand = ask(address, "/v1/stand")
@@ -472,7 +472,7 @@
 
 
 @sessions.command(name="show")
-def showSession(id: str, *, control: list[str], json_: bool = False):
+def show_session(id: str, *, control: list[str], json_: bool = False):
     """Show the record of a session; exit 0 shown, 1 there is none or no majority, 2 misuse.
 
     Parameters
@@ -487,9 +487,9 @@
     from urllib.parse import quote
     if not id or len(id) > 256:
         return misuse("sessions show: the session's name must have 1 to 256 bytes")
-    address, status, answer = askControls("sessions show", control, f"/v1/sessions/{quote(id, safe='')}")
+    address, status, answer = ask_controls("sessions show", control, f"/v1/sessions/{quote(id, safe='')}")
     if status != 200:
-        return orderOutcome("sessions show", (address, status, answer), "")
+        return order_outcome("sessions show", (address, status, answer), "")
     if json_:
         print(json.dumps(answer, indent=1))
         return 0
--- a/stagevale/configuration/checking.py
+++ b/stagevale/configuration/checking.py
@@ -5,7 +5,7 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.tenants import tenantsProblem
+from stagevale.tenants import tenants_problem
 
 
 class ConfigProblem:
@@ -18,7 +18,7 @@
         self.reason = reason
 
 
-def versionNumber(value):
+def version_number(value):
     """`r12`, `12` or 12 as 12; anything else raises ValueError."""
     if isinstance(value, bool):
         raise ValueError(f"not a version: {value!r}")
@@ -31,20 +31,20 @@
     raise ValueError(f"not a version: {value!r}")
 
 
-def checkVersion(value):
+def check_version(value):
     try:
-        return versionNumber(value)
+        return version_number(value)
     except ValueError as problem:
         raise t.DataError(str(problem))
 
 
-def checkPrefix(value):
+def check_prefix(value):
     if not value.startswith("/"):
         raise t.DataError("does not begin with a slash")
     return value
 
 
-def checkHeader(value):
+def check_header(value):
     if not value.isascii() or not value.replace("-", "").isalnum():
         raise t.DataError("is no name of a header")
     return value
@@ -55,7 +55,7 @@
 ROUTE = t.Dict({
     t.Key("name", optional=True): t.String(allow_blank=True),
     t.Key("host"): t.String(),
-    t.Key("pathPrefix"): t.String() & checkPrefix,
+    t.Key("pathPrefix"): t.String() & check_prefix,
     t.Key("variant", optional=True): t.Enum("pure", "effectful"),
     t.Key("timeoutMs"): t.Int(gt=0) | t.Float(gt=0),
     t.Key("targetMs", optional=True): NUMBER,
@@ -66,7 +66,7 @@
     t.Key("weighted", optional=True): t.List(PART, min_length=1),
     t.Key("public", optional=True): t.Bool() | t.Null(),
     t.Key("affinity", optional=True): t.Dict({
-        t.Key("header"): t.String(max_length=64) & checkHeader,
+        t.Key("header"): t.String(max_length=64) & check_header,
         t.Key("keepS", optional=True): t.Int(gte=1) | t.Float(gte=1),
     }) | t.Null(),
 }, allow_extra="*")
@@ -84,8 +84,8 @@
     t.Key("coldPerS", optional=True): NUMBER,
 }, allow_extra="*")
 CONFIG = t.Dict({
-    t.Key("version"): checkVersion,
-    t.Key("parentVersion", default=0): checkVersion,
+    t.Key("version"): check_version,
+    t.Key("parentVersion", default=0): check_version,
     t.Key("routes"): t.List(ROUTE),
     t.Key("services"): t.List(SERVICE),
     t.Key("limits", optional=True): t.Dict({}, allow_extra="*"),
@@ -93,7 +93,7 @@
 }, allow_extra="*")
 
 
-def readConfig(text, regions=()) -> Result:
+def read_config(text, regions=()) -> Result:
     """The text of a configuration as Ok(table with numbers for versions), or Error(ConfigProblem).
 
     `regions` are those that tenants may have for homes; without them homes are not checked.
@@ -124,7 +124,7 @@
         for target in targets:
             if target not in known:
                 return Error(ConfigProblem(400, f"{where}: unknown service {target}"))
-    problem = tenantsProblem(table.get("tenants") or (), regions)
+    problem = tenants_problem(table.get("tenants") or (), regions)
     if problem:
         return Error(ConfigProblem(400, problem))
     return Ok(table)
--- a/stagevale/configuration/disk.py
+++ b/stagevale/configuration/disk.py
@@ -33,7 +33,7 @@
             pass
 
 
-def readTable(folder, name, key):
+def read_table(folder, name, key):
     """What a whole table holds under `key`, or None where it is torn or missing."""
     try:
         table = dbm.dumb.open(os.path.join(folder.path, name), "r")
@@ -46,7 +46,7 @@
     return data if check == str(zlib.crc32(data)).encode() else None
 
 
-def writeTable(folder, name, key, data):
+def write_table(folder, name, key, data):
     """Writes a fresh table with its check and syncs its files and the folder; only then does it count."""
     for ending in (".dat", ".dir", ".bak"):
         folder.remove(name + ending)
@@ -82,13 +82,13 @@
         return None
 
     def read(self, generation):
-        return readTable(self.folder, f"register-{generation}", b"record")
+        return read_table(self.folder, f"register-{generation}", b"record")
 
     def save(self, record):
         """Writes a fresh generation, syncs its files and the folder, then drops old ones."""
         generation = self.generation + 1
         self.generation = generation
-        writeTable(self.folder, f"register-{generation}", b"record", record)
+        write_table(self.folder, f"register-{generation}", b"record", record)
         old = generation - GENERATIONS_KEPT
         if old > 0:
             for ending in (".dir", ".dat", ".bak"):
--- a/stagevale/configuration/orders.py
+++ b/stagevale/configuration/orders.py
@@ -1,5 +1,5 @@
 """What each order of the operator does to the register's value."""
-from stagevale.configuration.checking import ConfigProblem, fingerprint, readConfig
+from stagevale.configuration.checking import ConfigProblem, fingerprint, read_config
 
 REPLACE, EVACUATE, TAKE_BACK, READ = "replace", "evacuate", "takeBack", "read"
 OFFER, WITHDRAW, READ_OFFER, SERIAL = "offer", "withdraw", "readOffer", "serial"
@@ -35,12 +35,12 @@
         from stagevale.partners import checking
         if order == OFFER:
             return checking.offered(value, payload, areas, Outcome)
-        return (checking.withdrawn if order == WITHDRAW else checking.readBack)(value, payload, Outcome)
+        return (checking.withdrawn if order == WITHDRAW else checking.read_back)(value, payload, Outcome)
     if order in (START_ROLLOUT, MOVE_ROLLOUT):
         from stagevale.rollouts import checking
         return (checking.started if order == START_ROLLOUT else checking.moved)(value, payload, Outcome)
     if order == REPLACE:
-        checked = readConfig(payload, frozenset(areas.values()))
+        checked = read_config(payload, frozenset(areas.values()))
         if checked.is_error():
             problem: ConfigProblem = checked.error
             return Outcome(problem.status, problem.reason)
--- a/stagevale/configuration/value.py
+++ b/stagevale/configuration/value.py
@@ -41,7 +41,7 @@
                      rollouts=self.rollouts if rollouts is None else rollouts)
 
 
-def readValue(packed):
+def read_value(packed):
     """A value out of its packed bytes."""
     _, serial, version, config, evacuated, group, taken, *more = wire.unpack(wire.unsqueeze(packed), "value",
                                                                             "a colleague")
--- a/stagevale/context/__init__.py
+++ b/stagevale/context/__init__.py
@@ -10,36 +10,36 @@
 class Context:
     """What a daemon asks of the world. Tests bring their own with the same calls."""
 
-    __slots__ = ("settings", "loop", "random", "log", "diskQueue", "tasks", "stopping")
+    __slots__ = ("settings", "loop", "random", "log", "disk_queue", "tasks", "stopping")
 
     def __init__(self, settings, loop, log):
         self.settings = settings
         self.loop = loop
         self.random = random.Random()
         self.log = log
-        self.diskQueue = None
+        self.disk_queue = None
         self.tasks = set()
         self.stopping = False
 
-    def nowMs(self):
+    def now_ms(self):
         """The steady clock in milliseconds."""
         return time.monotonic() * 1000.0
 
-    def wallMs(self):
+    def wall_ms(self):
         """The time of day in milliseconds, as this machine has it; it may be wrong and may jump."""
         return time.time() * 1000.0
 
-    def after(self, delayMs, call, *args):
+    def after(self, delay_ms, call, *args):
         """Runs `call` once after a delay; the answer has `cancel`."""
-        return self.loop.call_later(delayMs / 1000.0, call, *args)
+        return self.loop.call_later(delay_ms / 1000.0, call, *args)
 
     def soon(self, call, *args):
         """Runs `call` in the next turn of the loop."""
         self.loop.call_soon(call, *args)
 
-    def connect(self, address, protocol, failed, timeoutMs, silenceMs):
+    def connect(self, address, protocol, failed, timeout_ms, silence_ms):
         """Opens a stream to (ip, port) for `protocol`; `failed(problem)` is called where that doesn't come about."""
-        task = self.loop.create_task(self.open(address, protocol, timeoutMs, silenceMs))
+        task = self.loop.create_task(self.open(address, protocol, timeout_ms, silence_ms))
         self.tasks.add(task)
 
         def finished(done):
@@ -51,12 +51,12 @@
         task.add_done_callback(finished)
         return task
 
-    async def open(self, address, protocol, timeoutMs, silenceMs):
+    async def open(self, address, protocol, timeout_ms, silence_ms):
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
-            tuneSocket(sock, silenceMs)
-            await asyncio.wait_for(self.loop.sock_connect(sock, address), timeoutMs / 1000.0)
+            tune_socket(sock, silence_ms)
+            await asyncio.wait_for(self.loop.sock_connect(sock, address), timeout_ms / 1000.0)
             await self.loop.create_connection(lambda: protocol, sock=sock)
         except BaseException:
             sock.close()
@@ -80,14 +80,14 @@
 
     def disk(self, work, done):
         """Runs `work()` on the one disk thread, then `done(result, problem)` on the loop."""
-        if self.diskQueue is None:
-            self.diskQueue = queue.SimpleQueue()
-            threading.Thread(target=self.diskThread, daemon=True, name="disk").start()
-        self.diskQueue.put((work, done))
+        if self.disk_queue is None:
+            self.disk_queue = queue.SimpleQueue()
+            threading.Thread(target=self.disk_thread, daemon=True, name="disk").start()
+        self.disk_queue.put((work, done))
 
-    def diskThread(self):
+    def disk_thread(self):
         while True:
-            work, done = self.diskQueue.get()
+            work, done = self.disk_queue.get()
             try:
                 result, problem = work(), None
             except Exception as caught:
@@ -98,13 +98,13 @@
                 return
 
 
-def tuneSocket(sock, silenceMs):
+def tune_socket(sock, silence_ms):
     """Makes a stream notice within `silenceMs` that its other end is gone."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for level, option, value in (
-            (socket.IPPROTO_TCP, getattr(socket, "TCP_USER_TIMEOUT", 18), int(silenceMs)),
+            (socket.IPPROTO_TCP, getattr(socket, "TCP_USER_TIMEOUT", 18), int(silence_ms)),
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, max(1, int(silenceMs / 2000))),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, max(1, int(silence_ms / 2000))),
             (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
             (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)):
         try:
--- a/stagevale/doctoring/__init__.py
+++ b/stagevale/doctoring/__init__.py
@@ -4,8 +4,8 @@
 import os
 import tomllib
 
-from stagevale.configuration.checking import readConfig
-from stagevale.settings import SettingsProblem, loadSettings, splitAddress
+from stagevale.configuration.checking import read_config
+from stagevale.settings import SettingsProblem, load_settings, split_address
 
 DELAYS_APART = 3.0
 
@@ -24,10 +24,10 @@
         return {"where": self.where, "fault": self.fault, "remedy": self.remedy}
 
 
-def ask(address, path, timeoutS=3.0, method="GET", body=None):
+def ask(address, path, timeout_s=3.0, method="GET", body=None):
     """One call at ip:port, a GET unless said otherwise; returns (status, parsed JSON or None), or (None, reason) where no answer comes."""
-    ip, port = splitAddress(address, "address")
-    stream = http.client.HTTPConnection(ip, port, timeout=timeoutS)
+    ip, port = split_address(address, "address")
+    stream = http.client.HTTPConnection(ip, port, timeout=timeout_s)
     try:
         stream.request(method, path, body)
         answer = stream.getresponse()
@@ -42,35 +42,35 @@
         return answer.status, None
 
 
-def checkSettings(path):
+def check_settings(path):
     """Faults of a settings file."""
     try:
-        settings = loadSettings(path)
+        settings = load_settings(path)
     except SettingsProblem as problem:
         return [Finding(path, str(problem), "mend the field that is named; the daemons refuse to start on it")]
     found = []
     if not settings.seeds:
         found.append(Finding(path, "streams.seeds is empty", "name up to three core machines' control addresses"))
-    if settings.bounds.drainCutoffMs < settings.bounds.contactMs / 4:
+    if settings.bounds.drain_cutoff_ms < settings.bounds.contact_ms / 4:
         found.append(Finding(path, "bounds.drainCutoffMs is below a round of the registries (contactMs / 4)",
                              "raise drainCutoffMs or lower contactMs"))
-    if settings.bounds.gracePeriodS * 1000 < settings.bounds.contactMs / 2:
+    if settings.bounds.grace_period_s * 1000 < settings.bounds.contact_ms / 2:
         found.append(Finding(path, "bounds.gracePeriodS leaves a proxy no time to answer what it has",
                              "give at least half of contactMs"))
-    if settings.listen.get("control") and not settings.dataPath and settings.machineClass == "core":
+    if settings.listen.get("control") and not settings.data_path and settings.machine_class == "core":
         found.append(Finding(path, "a core machine without daemon.dataPath", "give it a folder on its disk"))
-    if settings.policyPath:
-        from stagevale.balancing.policies import PolicyProblem, loadPolicy
+    if settings.policy_path:
+        from stagevale.balancing.policies import PolicyProblem, load_policy
         try:
-            loadPolicy(settings.policyPath, None)
+            load_policy(settings.policy_path, None)
         except PolicyProblem as problem:
             found.append(Finding(path, f"policy.path: {problem}", "mend the policy, or drop the line"))
-    if settings.dataPath and not os.access(settings.dataPath, os.W_OK):
-        found.append(Finding(path, f"daemon.dataPath {settings.dataPath} can't be written", "create it, or its rights"))
+    if settings.data_path and not os.access(settings.data_path, os.W_OK):
+        found.append(Finding(path, f"daemon.dataPath {settings.data_path} can't be written", "create it, or its rights"))
     return found
 
 
-def checkDeploy(path):
+def check_deploy(path):
     """Faults of a deploy file."""
     try:
         with open(path, "rb") as file:
@@ -104,14 +104,14 @@
     return found
 
 
-def checkConfig(path):
+def check_config(path):
     """Faults of a configuration file, by the store's own check."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as problem:
         return [Finding(path, f"can't be read: {problem}", "name a readable file")]
-    checked = readConfig(text)
+    checked = read_config(text)
     if checked.is_error():
         return [Finding(path, checked.error.reason, "the store would answer 400; mend the place that is named")]
     found = []
@@ -125,7 +125,7 @@
     return found
 
 
-def checkSystem(control, directory="", ready=""):
+def check_system(control, directory="", ready=""):
     """Faults of a running system, seen through its outside interfaces."""
     found = []
     status, stand = ask(control, "/v1/stand")
@@ -133,7 +133,7 @@
         found.append(Finding(control, f"no stand from the registry: {stand if status is None else status}",
                              "is the registry running, and is this its control address?"))
     else:
-        found += standFaults(control, stand)
+        found += stand_faults(control, stand)
     status, config = ask(control, "/v1/config/read")
     if status == 404:
         found.append(Finding(control, "no configuration has been taken", "send one to /v1/config/replace"))
@@ -152,7 +152,7 @@
     return found
 
 
-def standFaults(control, stand):
+def stand_faults(control, stand):
     """Faults that one registry's stand shows."""
     found = []
     if not stand.get("inContact"):
@@ -177,10 +177,10 @@
                                  + ", ".join(row["votes"])))
     for proxy in stand.get("proxies", ()):
         for row in proxy.get("delays", ()):
-            expectedMs, gotMs = max(1.0, row["expectedMs"]), max(1.0, row["gotMs"])
-            if row["count"] >= 50 and max(expectedMs, gotMs) > DELAYS_APART * min(expectedMs, gotMs):
-                found.append(Finding(proxy["address"], f"expects {row['service']} from {row['region']} in {expectedMs:.0f} ms, "
-                                     f"callers got {gotMs:.0f} ms", "see `delays`: has the region changed much, or its "
+            expected_ms, got_ms = max(1.0, row["expectedMs"]), max(1.0, row["gotMs"])
+            if row["count"] >= 50 and max(expected_ms, got_ms) > DELAYS_APART * min(expected_ms, got_ms):
+                found.append(Finding(proxy["address"], f"expects {row['service']} from {row['region']} in {expected_ms:.0f} ms, "
+                                     f"callers got {got_ms:.0f} ms", "see `delays`: has the region changed much, or its "
                                      "way? without a change, restart this edge"))
     if stand.get("evacuated"):
         found.append(Finding(control, f"evacuated: {', '.join(stand['evacuated'])}", "take back what is meant to serve"))
--- a/stagevale/duties/__init__.py
+++ b/stagevale/duties/__init__.py
@@ -2,7 +2,7 @@
 import json
 
 from stagevale import wire
-from stagevale.ballots import asBallot
+from stagevale.ballots import as_ballot
 from stagevale.configuration import Keeper
 from stagevale.duties.platform import PlatformCall
 
@@ -39,7 +39,7 @@
                          self.through if through is None else through)
 
 
-def readDutyValue(packed):
+def read_duty_value(packed):
     """A value out of its packed bytes."""
     _, serial, fence, holder, group, pending, through = wire.unpack(wire.unsqueeze(packed), "duties", "a colleague")
     return DutyValue(serial, fence, holder, group, pending, through, packed)
@@ -53,44 +53,44 @@
     """
 
     program = "registry"
-    portOffset = 0
+    port_offset = 0
     kinds = wire.DUTIES
     prefix = "duties"
     duty = "usage"
-    readValue = staticmethod(readDutyValue)
+    read_value = staticmethod(read_duty_value)
 
-    __slots__ = ("ledger", "trueTime", "sent", "skipped", "collecting", "calling", "pauseMs", "notBeforeMs",
-                 "collectAtMs", "actedMs", "barredMs", "lastSent", "asking")
+    __slots__ = ("ledger", "true_time", "sent", "skipped", "collecting", "calling", "pause_ms", "not_before_ms",
+                 "collect_at_ms", "acted_ms", "barred_ms", "last_sent", "asking")
 
-    def __init__(self, context, board, membership, disk, ledger, trueTime):
+    def __init__(self, context, board, membership, disk, ledger, true_time):
         super().__init__(context, board, membership, disk)
         bounds = context.settings.bounds
-        self.beatMs = bounds.contactMs / 2.0
+        self.beat_ms = bounds.contact_ms / 2.0
         self.ledger = ledger
-        self.trueTime = trueTime
+        self.true_time = true_time
         self.sent = set()
-        self.lastSent = 0
+        self.last_sent = 0
         self.skipped = 0
         self.collecting = False
         self.calling = None
-        self.pauseMs = self.leastPauseMs()
-        self.notBeforeMs = 0.0
-        self.collectAtMs = 0.0
-        self.actedMs = -1e12
-        self.barredMs = -1e12
+        self.pause_ms = self.least_pause_ms()
+        self.not_before_ms = 0.0
+        self.collect_at_ms = 0.0
+        self.acted_ms = -1e12
+        self.barred_ms = -1e12
         self.asking = False
-        board.on(wire.VACANT, self.onVacant)
-        board.on(wire.COUNTS_WANTED, self.onCountsWanted)
+        board.on(wire.VACANT, self.on_vacant)
+        board.on(wire.COUNTS_WANTED, self.on_counts_wanted)
 
     # holding
 
-    def patienceMs(self, rank):
+    def patience_ms(self, rank):
         """A holder's silence is borne for nearly two of its rounds; others of the group stand one after the other."""
-        return self.beatMs * (1.7 + 0.35 * rank)
+        return self.beat_ms * (1.7 + 0.35 * rank)
 
-    def firstValue(self):
+    def first_value(self):
         """Nobody holds the duty, and no window was chosen."""
-        return DutyValue(0, 0, "", self.seedStores, (), 0)
+        return DutyValue(0, 0, "", self.seed_stores, (), 0)
 
     def claimed(self, value):
         """The new holder under a fence that was never given before."""
@@ -100,7 +100,7 @@
         """Registries; stores have no part in this."""
         return [member for member in self.membership.others() if member.program == self.program]
 
-    def tendSessions(self):
+    def tend_sessions(self):
         """Sessions are the configuration part's."""
 
     def publish(self, value):
@@ -111,7 +111,7 @@
 
         A daemon that merely missed the holder's word, or has just come back, takes nothing from it.
         """
-        if self.context.nowMs() < self.barredMs or self.electing is not None or self.asking:
+        if self.context.now_ms() < self.barred_ms or self.electing is not None or self.asking:
             return
         group = self.group()
         if self.accepted is None or len(group) < 2:
@@ -125,49 +125,49 @@
             if not self.asking:
                 return
             silent.discard(peer)
-            if problem is None and answer and answer[0] and self.ownerHeardMs > VACATED:
+            if problem is None and answer and answer[0] and self.owner_heard_ms > VACATED:
                 self.asking = False
-                self.believe(asBallot(answer[1]), 0.0)
-                self.ownerHeardMs = self.context.nowMs()
+                self.believe(as_ballot(answer[1]), 0.0)
+                self.owner_heard_ms = self.context.now_ms()
             elif not silent:
                 self.asking = False
                 if self.ballot is None:
                     super(DutyKeeper, self).elect()
-        self.askAll(others, wire.WHO_OWNS, [], self.callMs * 0.5, heard)
+        self.ask_all(others, wire.WHO_OWNS, [], self.call_ms * 0.5, heard)
 
-    def onConfirm(self, peer, body, reply):
+    def on_confirm(self, peer, body, reply):
         """The holder's question to its voters is a sign of its life too."""
-        ballot = asBallot(body[0])
-        if ballot >= self.promised and ballot >= self.ownerBallot and self.ballot is None:
-            self.ownerBallot = ballot
-            self.ownerHeardMs = self.context.nowMs()
-        super().onConfirm(peer, body, reply)
+        ballot = as_ballot(body[0])
+        if ballot >= self.promised and ballot >= self.owner_ballot and self.ballot is None:
+            self.owner_ballot = ballot
+            self.owner_heard_ms = self.context.now_ms()
+        super().on_confirm(peer, body, reply)
 
     def begin(self, saved):
         super().begin(saved)
         self.work()
 
-    def handOver(self):
+    def hand_over(self):
         """Before an end in order: gives the duty up and tells the group that it is vacant."""
         held = self.ballot is not None
-        super().handOver()
+        super().hand_over()
         if held:
             for address in self.group():
                 if address != self.board.address:
                     self.board.cast(address, wire.VACANT, [])
 
-    def onVacant(self, peer, body, reply):
+    def on_vacant(self, peer, body, reply):
         """The holder has left in order: members of the group stand one after the other, without waiting for silence."""
         group = self.group()
-        if self.ownerBallot[1].partition("#")[0] != peer or self.board.address not in group or self.stopping:
+        if self.owner_ballot[1].partition("#")[0] != peer or self.board.address not in group or self.stopping:
             return
-        ballot = self.ownerBallot
-        self.ownerHeardMs = VACATED
+        ballot = self.owner_ballot
+        self.owner_heard_ms = VACATED
 
         def stand():
-            if self.ownerBallot == ballot and self.ballot is None:
+            if self.owner_ballot == ballot and self.ballot is None:
                 self.elect()
-        self.context.after(self.callMs * 0.3 * group.index(self.board.address), stand)
+        self.context.after(self.call_ms * 0.3 * group.index(self.board.address), stand)
 
     def holds(self):
         """True while this daemon believes that it holds the duty; `check` makes sure."""
@@ -179,12 +179,12 @@
         if not self.holds():
             stop("the duty is held no more")
             return
-        askedMs = self.context.nowMs()
+        asked_ms = self.context.now_ms()
         fence = self.chosen.fence
 
         def confirmed(stands):
-            freshMs = self.context.settings.bounds.leaseMs / 4.0
-            if stands and self.holds() and self.chosen.fence == fence and self.context.nowMs() - askedMs < freshMs:
+            fresh_ms = self.context.settings.bounds.lease_ms / 4.0
+            if stands and self.holds() and self.chosen.fence == fence and self.context.now_ms() - asked_ms < fresh_ms:
                 go()
             else:
                 stop("the duty isn't confirmed")
@@ -194,44 +194,44 @@
 
     def work(self):
         """A holder's round: sends what is chosen, and chooses the next window once its counts have settled."""
-        self.context.after(self.context.settings.bounds.contactMs / 8.0, self.work)
+        self.context.after(self.context.settings.bounds.contact_ms / 8.0, self.work)
         if not self.holds():
             self.watch()
             return
         self.send()
-        trueMs = self.trueTime.now()
-        nowMs = self.context.nowMs()
-        if trueMs is None or self.collecting or self.busy or nowMs < self.collectAtMs:
+        true_ms = self.true_time.now()
+        now_ms = self.context.now_ms()
+        if true_ms is None or self.collecting or self.busy or now_ms < self.collect_at_ms:
             return
         bounds = self.context.settings.bounds
-        window = self.nextWindow()
+        window = self.next_window()
         if window is None:
-            self.collectAtMs = nowMs + bounds.usageDelayS * 100.0
+            self.collect_at_ms = now_ms + bounds.usage_delay_s * 100.0
             self.collect(0)
             return
-        settledMs = (window + 1) * bounds.reportWindowS * 1000.0 + bounds.usageDelayS * 1000.0 * SETTLE_SHARE
-        if trueMs >= settledMs:
+        settled_ms = (window + 1) * bounds.report_window_s * 1000.0 + bounds.usage_delay_s * 1000.0 * SETTLE_SHARE
+        if true_ms >= settled_ms:
             self.collect(window)
         else:
-            self.collectAtMs = nowMs + min(settledMs - trueMs, bounds.usageDelayS * 100.0)
+            self.collect_at_ms = now_ms + min(settled_ms - true_ms, bounds.usage_delay_s * 100.0)
 
     def watch(self):
         """Stands for the duty once its holder has been silent for too long."""
         group = self.group()
-        if self.ballot is not None or self.stopping or self.wiped or not self.loaded or not self.inGroup():
+        if self.ballot is not None or self.stopping or self.wiped or not self.loaded or not self.in_group():
             return
-        if self.context.nowMs() - self.ownerHeardMs > self.patienceMs(group.index(self.board.address)):
+        if self.context.now_ms() - self.owner_heard_ms > self.patience_ms(group.index(self.board.address)):
             self.elect()
 
     def owner(self):
         """The holder as far as it was heard of lately."""
         if self.ballot is not None:
             return self.board.address
-        if self.context.nowMs() - self.ownerHeardMs < self.beatMs * 1.6 and self.ownerBallot[0]:
-            return self.ownerBallot[1].partition("#")[0]
+        if self.context.now_ms() - self.owner_heard_ms < self.beat_ms * 1.6 and self.owner_ballot[0]:
+            return self.owner_ballot[1].partition("#")[0]
         return None
 
-    def nextWindow(self):
+    def next_window(self):
         """The window to be chosen next; None before the first was ever counted."""
         last = max(self.chosen.through, self.skipped)
         return last + 1 if last else None
@@ -242,7 +242,7 @@
         answers, silent = {}, set()
         peers = [member.address for member in self.membership.members("registry")
                  if self.membership.reachable(member.address)]
-        cutoffMs = self.context.settings.bounds.contactMs / 5.0
+        cutoff_ms = self.context.settings.bounds.contact_ms / 5.0
 
         def answered(peer, answer, problem):
             if problem is None and answer is not None:
@@ -259,44 +259,44 @@
             if not twice:
                 self.counted(window, answers, {}, len(holders), not silent)
                 return
-            self.resolveTwice(window, answers, twice, len(holders), not silent)
+            self.resolve_twice(window, answers, twice, len(holders), not silent)
         for peer in peers:
-            self.board.call(peer, wire.COUNTS_WANTED, [window, 0], cutoffMs,
+            self.board.call(peer, wire.COUNTS_WANTED, [window, 0], cutoff_ms,
                             lambda answer, problem, peer=peer: answered(peer, answer, problem))
 
-    def resolveTwice(self, window, answers, twice, proxies, whole):
+    def resolve_twice(self, window, answers, twice, proxies, whole):
         """Some proxies told two registries: these give their counts proxy by proxy, and the later word counts."""
         rows, waiting = {}, set(twice)
 
         def answered(peer, answer, problem):
             waiting.discard(peer)
             if problem is None and answer is not None:
-                for proxy, uptoMs, text in answer[3]:
-                    if proxy not in rows or uptoMs > rows[proxy][0]:
-                        rows[proxy] = (uptoMs, text)
+                for proxy, upto_ms, text in answer[3]:
+                    if proxy not in rows or upto_ms > rows[proxy][0]:
+                        rows[proxy] = (upto_ms, text)
                 answers[peer] = [answer[0], answer[1], answer[2], "{}"]
             else:
                 answers.pop(peer, None)
             if not waiting:
                 self.counted(window, answers, rows, proxies, whole)
         for peer in twice:
-            self.board.call(peer, wire.COUNTS_WANTED, [window, 1], self.context.settings.bounds.contactMs / 5.0,
+            self.board.call(peer, wire.COUNTS_WANTED, [window, 1], self.context.settings.bounds.contact_ms / 5.0,
                             lambda answer, problem, peer=peer: answered(peer, answer, problem))
 
     def counted(self, window, answers, rows, proxies, whole):
         """All that can be had of a window's counts is here: they are chosen, unless more is worth waiting for."""
         self.collecting = False
-        trueMs = self.trueTime.now()
-        if not self.holds() or self.busy or trueMs is None:
+        true_ms = self.true_time.now()
+        if not self.holds() or self.busy or true_ms is None:
             return
         bounds = self.context.settings.bounds
         if window == 0:
             oldest = [answer[0] for answer in answers.values() if answer[0] > 0]
             if oldest:
                 self.skipped = min(oldest) - 1
-                self.collectAtMs = 0.0
+                self.collect_at_ms = 0.0
             return
-        if window != self.nextWindow():
+        if window != self.next_window():
             return
         counts = {}
         for text in [answer[3] for answer in answers.values()] + [text for _, text in rows.values()]:
@@ -304,11 +304,11 @@
                 counts[tenant] = counts.get(tenant, 0) + number
         known = len(self.membership.members("proxy"))
         complete = whole and proxies >= known and all(answer[1] for answer in answers.values())
-        latestMs = (window + 1) * bounds.reportWindowS * 1000.0 + bounds.usageDelayS * 1000.0 * LATEST_SHARE
-        if not complete and trueMs < latestMs:
-            self.collectAtMs = self.context.nowMs() + bounds.usageDelayS * 100.0
+        latest_ms = (window + 1) * bounds.report_window_s * 1000.0 + bounds.usage_delay_s * 1000.0 * LATEST_SHARE
+        if not complete and true_ms < latest_ms:
+            self.collect_at_ms = self.context.now_ms() + bounds.usage_delay_s * 100.0
             return
-        self.collectAtMs = 0.0
+        self.collect_at_ms = 0.0
         if not sum(counts.values()):
             self.skipped = window
             return
@@ -320,15 +320,15 @@
         self.accept(self.chosen, self.chosen.after(pending=pending, through=window),
                     lambda chosen: self.send() if chosen else None)
 
-    def onCountsWanted(self, peer, body, reply):
+    def on_counts_wanted(self, peer, body, reply):
         window, whole = body
         reply(self.ledger.answer(window, whole))
 
     # sending
 
-    def leastPauseMs(self):
+    def least_pause_ms(self):
         bounds = self.context.settings.bounds
-        return max(1000.0 / self.context.settings.dutyPerS, bounds.usageDelayS * 1000.0 * PAUSE_SHARE)
+        return max(1000.0 / self.context.settings.duty_per_s, bounds.usage_delay_s * 1000.0 * PAUSE_SHARE)
 
     def due(self):
         """The oldest chosen window that isn't known to have arrived."""
@@ -339,16 +339,16 @@
 
     def send(self):
         """Sends the oldest window that is due, word for word as it was chosen; one call at a time."""
-        nowMs = self.context.nowMs()
-        if not self.holds() or self.calling is not None or nowMs < self.notBeforeMs:
+        now_ms = self.context.now_ms()
+        if not self.holds() or self.calling is not None or now_ms < self.not_before_ms:
             return
         due = self.due()
         if due is None:
             return
         window, text = due
         fence = self.chosen.fence
-        if nowMs < self.actedMs + self.context.settings.bounds.leaseMs * 1.25 and self.lastSent != fence:
-            self.notBeforeMs = self.actedMs + self.context.settings.bounds.leaseMs * 1.25
+        if now_ms < self.acted_ms + self.context.settings.bounds.lease_ms * 1.25 and self.last_sent != fence:
+            self.not_before_ms = self.acted_ms + self.context.settings.bounds.lease_ms * 1.25
             return
 
         def done(status, problem):
@@ -358,45 +358,45 @@
             self.outcome(window, fence, status, problem)
 
         def wrote():
-            self.actedMs = self.context.nowMs()
-            self.lastSent = fence
+            self.acted_ms = self.context.now_ms()
+            self.last_sent = fence
         call = PlatformCall(self.context, "/usage", text, self.context.settings.name, fence, self.check, wrote, done,
-                            self.context.settings.bounds.usageDelayS * 1000.0 * CALL_SHARE)
+                            self.context.settings.bounds.usage_delay_s * 1000.0 * CALL_SHARE)
         self.calling = call
         call.open()
 
     def outcome(self, window, fence, status, problem):
         """What a call came to; an unclear one is repeated as it was."""
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         bounds = self.context.settings.bounds
         if status is not None and 200 <= status < 300:
             self.sent.add(window)
             self.sent = {kept for kept in self.sent if kept > window - 100}
-            self.pauseMs = self.leastPauseMs()
-            self.notBeforeMs = nowMs + 1000.0 / self.context.settings.dutyPerS
+            self.pause_ms = self.least_pause_ms()
+            self.not_before_ms = now_ms + 1000.0 / self.context.settings.duty_per_s
             self.context.log.info("duties: window %d was taken under fence %d.", window, fence)
             self.context.soon(self.send)
             return
         self.context.log.info("duties: window %d under fence %d: %s.", window, fence,
                               f"the platform answers {status}" if status is not None else problem)
-        self.notBeforeMs = nowMs + self.pauseMs
-        self.pauseMs = min(self.pauseMs * 1.6, bounds.usageDelayS * 200.0)
+        self.not_before_ms = now_ms + self.pause_ms
+        self.pause_ms = min(self.pause_ms * 1.6, bounds.usage_delay_s * 200.0)
         if status == 409:
-            self.barredMs = nowMs + bounds.leaseMs * 1.25
-            self.stepDown("the platform has seen a higher fence")
+            self.barred_ms = now_ms + bounds.lease_ms * 1.25
+            self.step_down("the platform has seen a higher fence")
 
     def stand(self):
         """What this registry knows of the duty, for the tools."""
         value = self.chosen or self.accepted
-        trueMs = self.trueTime.now()
+        true_ms = self.true_time.now()
         bounds = self.context.settings.bounds
         held = self.holds()
         pending = [window for window, _ in value.pending if window not in self.sent] if value else []
-        dueMs = bounds.usageDelayS * 1000.0
-        overdue = [window for window in pending if trueMs is not None
-                   and trueMs > (window + 1 + (0 if held else 2)) * bounds.reportWindowS * 1000.0 + dueMs]
+        due_ms = bounds.usage_delay_s * 1000.0
+        overdue = [window for window in pending if true_ms is not None
+                   and true_ms > (window + 1 + (0 if held else 2)) * bounds.report_window_s * 1000.0 + due_ms]
         return {USAGE_DUTY: {"holder": value.holder if value else "", "fence": value.fence if value else 0,
-                             "holding": held, "heardMs": int(self.context.nowMs() - self.ownerHeardMs), "borneMs": int(self.patienceMs(8)),
+                             "holding": held, "heardMs": int(self.context.now_ms() - self.owner_heard_ms), "borneMs": int(self.patience_ms(8)),
                              "chosenThrough": value.through if value else 0, "pending": pending,
                              "sent": sorted(self.sent)[-10:], "overdue": overdue,
-                             "votes": list(value.group) if value else list(self.seedStores)}}
+                             "votes": list(value.group) if value else list(self.seed_stores)}}
--- a/stagevale/duties/platform.py
+++ b/stagevale/duties/platform.py
@@ -7,10 +7,10 @@
 class PlatformCall(asyncio.Protocol):
     """Sends one report. The duty is confirmed after the stream is open and right before anything is written."""
 
-    __slots__ = ("context", "path", "text", "holder", "fence", "check", "wrote", "done", "cutoffMs", "transport",
+    __slots__ = ("context", "path", "text", "holder", "fence", "check", "wrote", "done", "cutoff_ms", "transport",
                  "parser", "status", "over", "timer")
 
-    def __init__(self, context, path, text, holder, fence, check, wrote, done, cutoffMs):
+    def __init__(self, context, path, text, holder, fence, check, wrote, done, cutoff_ms):
         self.context = context
         self.path = path
         self.text = text
@@ -19,7 +19,7 @@
         self.check = check
         self.wrote = wrote
         self.done = done
-        self.cutoffMs = cutoffMs
+        self.cutoff_ms = cutoff_ms
         self.transport = None
         self.parser = h11.Connection(h11.CLIENT)
         self.status = None
@@ -28,10 +28,10 @@
 
     def open(self):
         """Opens the stream; `done(status, problem)` is called exactly once."""
-        self.timer = self.context.after(self.cutoffMs, self.finish, None, "no answer in time")
+        self.timer = self.context.after(self.cutoff_ms, self.finish, None, "no answer in time")
         self.context.connect(self.context.settings.platform, self,
                              lambda problem: self.finish(None, f"no stream to the platform: {problem!r}"),
-                             self.cutoffMs / 2.0, self.cutoffMs)
+                             self.cutoff_ms / 2.0, self.cutoff_ms)
 
     def finish(self, status, problem):
         if self.over:
--- a/stagevale/leases/__init__.py
+++ b/stagevale/leases/__init__.py
@@ -7,7 +7,7 @@
 
 def lease_ms(bounds):
     """For how long a proxy may use what it holds a lease on after it asked whether its snapshot is the newest."""
-    return bounds.applyMs * LENGTH_SHARE
+    return bounds.apply_ms * LENGTH_SHARE
 
 
 def wait_ms(bounds):
--- a/stagevale/membership/__init__.py
+++ b/stagevale/membership/__init__.py
@@ -6,7 +6,7 @@
 from stagevale import wire
 from stagevale.membership import clocks
 from stagevale.membership.state import (COMPLETE, COUNTED, DOWN, EXITING, JOINING, LEADING, LEAVING,
-                                        REMOVED, STATE_NAMES, UP, GossipState, Member, fromMessage, merged, sortKey)
+                                        REMOVED, STATE_NAMES, UP, GossipState, Member, from_message, merged, sort_key)
 from stagevale.membership.suspicion import Suspicion
 
 DATAGRAM_BYTES = 60000
@@ -19,9 +19,9 @@
     """This daemon's part in the gossip; datagrams in, datagrams out."""
 
     __slots__ = ("context", "me", "state", "rows", "heartbeat", "suspicions", "unreachable", "observed", "transport",
-                 "changeHooks", "contacts", "intervalMs", "timer", "placer", "epoch", "epochHook",
-                 "startedMs", "keys", "downSinceMs", "written", "packed", "packedOf", "past",
-                 "wholeMs")
+                 "change_hooks", "contacts", "interval_ms", "timer", "placer", "epoch", "epoch_hook",
+                 "started_ms", "keys", "down_since_ms", "written", "packed", "packed_of", "past",
+                 "whole_ms")
 
     def __init__(self, context, address, program, front=""):
         settings = context.settings
@@ -38,24 +38,24 @@
         self.unreachable = frozenset()
         self.observed = {}
         self.transport = None
-        self.changeHooks = []
-        self.contacts = [f"{ip}:{settings.innerPorts[0]}" for ip in settings.seeds] or [address]
-        self.intervalMs = settings.bounds.contactMs / 4.0
+        self.change_hooks = []
+        self.contacts = [f"{ip}:{settings.inner_ports[0]}" for ip in settings.seeds] or [address]
+        self.interval_ms = settings.bounds.contact_ms / 4.0
         self.timer = None
         self.placer = None
         self.epoch = 0
-        self.epochHook = None
-        self.startedMs = context.nowMs()
+        self.epoch_hook = None
+        self.started_ms = context.now_ms()
         self.keys = {self.me.key: self.me}
-        self.downSinceMs = {}
+        self.down_since_ms = {}
         self.packed = {}
-        self.packedOf = None
-        self.wholeMs = {}
+        self.packed_of = None
+        self.whole_ms = {}
 
     def start(self):
         """Binds the gossip port and begins to gossip."""
         self.context.datagrams(wire.pair(self.me.address), self)
-        self.timer = self.context.after(self.context.random.uniform(0.02, 0.1) * self.intervalMs, self.tick)
+        self.timer = self.context.after(self.context.random.uniform(0.02, 0.1) * self.interval_ms, self.tick)
 
     def connection_made(self, transport):
         self.transport = transport
@@ -106,10 +106,10 @@
                 return member.address
         if any(member.state in LEADING for member in self.state.members.values()):
             return None
-        waitedMs = self.context.nowMs() - self.startedMs
+        waited_ms = self.context.now_ms() - self.started_ms
         for member in reachable:
             if member.state == JOINING and member.core:
-                if member.address == self.contacts[0] or waitedMs > self.intervalMs * 2:
+                if member.address == self.contacts[0] or waited_ms > self.interval_ms * 2:
                     return member.address
                 return None
         return None
@@ -117,31 +117,31 @@
     def tick(self):
         """One gossip round: heartbeat, suspicion, own place in the state, leader's actions, overviews."""
         context = self.context
-        nowMs = context.nowMs()
+        now_ms = context.now_ms()
         self.heartbeat += 1
-        self.suspect(nowMs)
-        self.ensureSelf()
+        self.suspect(now_ms)
+        self.ensure_self()
         settled = self.converged()
-        self.lead(settled, nowMs)
-        self.gossip(nowMs, settled)
-        pace = self.intervalMs if settled else self.intervalMs * 0.45
+        self.lead(settled, now_ms)
+        self.gossip(now_ms, settled)
+        pace = self.interval_ms if settled else self.interval_ms * 0.45
         self.timer = context.after(pace * context.random.uniform(0.9, 1.1), self.tick)
 
-    def expectedMs(self, member):
+    def expected_ms(self, member):
         """How far apart a member's heartbeats are thought to arrive before any has: proxies of a large fleet speak
         less often beyond their own area, so word of them takes more rounds."""
         spread = max(1.0, len(self.state.members) / FAR_TELLERS) ** (0.25 if member.core else 0.5)
-        return self.intervalMs * 1.5 * spread
+        return self.interval_ms * 1.5 * spread
 
-    def suspect(self, nowMs):
+    def suspect(self, now_ms):
         unreachable = set()
         for member in self.state.counting():
             if member.address == self.me.address:
                 continue
             suspicion = self.suspicions.get(member.address)
             if suspicion is None:
-                self.suspicions[member.address] = Suspicion(nowMs, self.expectedMs(member))
-            elif suspicion.suspected(nowMs):
+                self.suspicions[member.address] = Suspicion(now_ms, self.expected_ms(member))
+            elif suspicion.suspected(now_ms):
                 unreachable.add(member.address)
         unreachable = frozenset(unreachable)
         if unreachable != self.unreachable:
@@ -152,7 +152,7 @@
             self.unreachable = unreachable
             self.tell()
 
-    def ensureSelf(self):
+    def ensure_self(self):
         """Rejoins as a new life where the state holds another, downed or removed life of this address.
 
         A counter under this address that this life never wrote comes from an earlier life: the others may hold that
@@ -197,10 +197,10 @@
         self.tell()
 
     def tell(self):
-        for hook in self.changeHooks:
+        for hook in self.change_hooks:
             hook()
 
-    def lead(self, settled, nowMs):
+    def lead(self, settled, now_ms):
         """What the sorted leader does: at convergence shifts members and moves parts; downs with a core majority."""
         if self.leader() != self.me.address:
             return
@@ -208,32 +208,32 @@
             self.bury()
             return
         members = dict(self.state.members)
-        table, tableEpoch, moves = self.state.table, self.state.tableEpoch, self.state.moves
+        table, table_epoch, moves = self.state.table, self.state.table_epoch, self.state.moves
         changed = False
         for address, member in self.state.members.items():
             if member.state == JOINING:
                 members[address] = member.at(UP)
                 changed = True
-            elif member.state == EXITING or (member.state == DOWN and (not member.core or self.gone(member, nowMs))):
+            elif member.state == EXITING or (member.state == DOWN and (not member.core or self.gone(member, now_ms))):
                 members[address] = member.at(REMOVED)
                 changed = True
         if self.placer is not None:
             placed = self.placer(members, table, moves)
             if placed is not None:
                 table, moves = placed
-                tableEpoch += 1
+                table_epoch += 1
                 changed = True
         if changed:
             pruned = {address: counter for address, counter in self.state.clock.items()
                       if address in members and members[address].state != REMOVED}
-            base = GossipState(pruned, self.state.members, self.state.tableEpoch, self.state.table, self.state.moves,
-                               self.state.tableDots)
-            self.make(base.changed(self.me.address, members=members, tableEpoch=tableEpoch, table=table, moves=moves))
+            base = GossipState(pruned, self.state.members, self.state.table_epoch, self.state.table, self.state.moves,
+                               self.state.table_dots)
+            self.make(base.changed(self.me.address, members=members, table_epoch=table_epoch, table=table, moves=moves))
 
-    def gone(self, member, nowMs):
+    def gone(self, member, now_ms):
         """True for a core member that has been down so long that its machine must be taken for gone for good."""
-        sinceMs = self.downSinceMs.setdefault(member.key, nowMs)
-        return nowMs - sinceMs > self.context.settings.bounds.contactMs * GONE_SHARE
+        since_ms = self.down_since_ms.setdefault(member.key, now_ms)
+        return now_ms - since_ms > self.context.settings.bounds.contact_ms * GONE_SHARE
 
     def bury(self):
         """Marks unreachable members down, where a majority of the core machines finds them unreachable."""
@@ -252,7 +252,7 @@
         if changed:
             self.make(self.state.changed(self.me.address, members=members))
 
-    def completeMove(self, move):
+    def complete_move(self, move):
         """Marks a pending move of this daemon as complete."""
         moves = tuple(type(move)(kept.part, kept.giver, kept.taker, COMPLETE) if kept.key() == move.key() else kept
                       for kept in self.state.moves)
@@ -265,7 +265,7 @@
             self.make(self.state.changed(self.me.address,
                                         members={**self.state.members, self.me.address: known.at(LEAVING)}))
             for _ in range(3):
-                self.gossip(self.context.nowMs())
+                self.gossip(self.context.now_ms())
 
     def exit(self):
         """Says that all that this daemon had is handed over."""
@@ -274,14 +274,14 @@
             self.make(self.state.changed(self.me.address,
                                         members={**self.state.members, self.me.address: known.at(EXITING)}))
 
-    def gossip(self, nowMs, settled=False):
+    def gossip(self, now_ms, settled=False):
         """Sends the overview: to a live member, sometimes to an unreachable one, a deputy, one that differs."""
         random = self.context.random
         live = [member for member in self.others() if member.address not in self.unreachable]
         lost = [member for member in self.others() if member.address in self.unreachable]
         overview = None
         targets = set()
-        if live and settled and not self.me.core and random.random() > self.farShare(live):
+        if live and settled and not self.me.core and random.random() > self.far_share(live):
             beside = [member for member in live if member.area == self.me.area] or live
             targets.add(random.choice(beside).address)
         elif live:
@@ -308,27 +308,27 @@
         targets.discard(self.me.address)
         for address in targets:
             overview = overview or self.overview()
-            self.sendTo(address, overview)
+            self.send_to(address, overview)
         alone = self.state.members[self.me.address].state == JOINING or not live
         if alone or random.random() < 0.03:
             unknown = [address for address in self.contacts
                        if address not in self.state.members and address != self.me.address]
             for address in unknown:
-                self.sendState(address)
+                self.send_state(address)
 
-    def farShare(self, live):
+    def far_share(self, live):
         """How often a proxy's round goes beyond its own area: in a large fleet the far talk of all proxies together
         stays what a dozen of them have, and the core carries their heartbeats on."""
         return FAR_TELLERS / max(FAR_TELLERS, sum(1 for member in live if not member.core) + 1.0)
 
-    def overview(self, withClock=False):
+    def overview(self, with_clock=False):
         """Heartbeats and versions of all members; the own clock goes along only where it was asked for.
 
         Where every member's row is known and all have seen this state, the rows are bare heartbeats in sorted order:
         whoever has this state knows which is whose.
         """
         rows, mine, me = self.rows, self.state.mark, self.me.address
-        keys, beats, seenMarks = [], [], []
+        keys, beats, seen_marks = [], [], []
         counting = self.state.counting()
         for member in counting:
             known = rows.get(member.address)
@@ -337,63 +337,63 @@
             if known is not None and known[0] == member.uid:
                 keys.append(member.key)
                 beats.append(known[1] & 0xFFFF)
-                seenMarks.append(known[2])
-        keyed = withClock or len(keys) < len(counting) or seenMarks.count(mine) < len(seenMarks)
+                seen_marks.append(known[2])
+        keyed = with_clock or len(keys) < len(counting) or seen_marks.count(mine) < len(seen_marks)
         marks = [mine]
         told = struct.pack(f"!{len(beats)}H", *beats)
         if keyed:
-            marks += [mark for mark in dict.fromkeys(seenMarks) if mark != mine][:254]
+            marks += [mark for mark in dict.fromkeys(seen_marks) if mark != mine][:254]
             place = {mark: at for at, mark in enumerate(marks)}
-            told += struct.pack(f"!{len(keys)}I", *keys) + bytes(place.get(mark, 255) for mark in seenMarks)
+            told += struct.pack(f"!{len(keys)}I", *keys) + bytes(place.get(mark, 255) for mark in seen_marks)
         seen = [[self.me.address, self.heartbeat, sorted(self.unreachable)]] if self.unreachable else []
         for observer, (heartbeat, addresses) in self.observed.items():
             member = self.state.members.get(observer)
             if addresses and member is not None and member.core and observer not in self.unreachable:
                 seen.append([observer, heartbeat, sorted(addresses)])
-        return wire.pack([wire.OVERVIEW, self.me.address, self.clockBytes() if withClock else b"",
+        return wire.pack([wire.OVERVIEW, self.me.address, self.clock_bytes() if with_clock else b"",
                           struct.pack(f"!{len(marks)}I", *marks), told, json.dumps(seen) if seen else "",
                           self.epoch, int(keyed)])
 
-    def clockBytes(self):
-        return wire.squeeze(b"".join(wire.packAddress(address) + struct.pack("!I", counter)
+    def clock_bytes(self):
+        return wire.squeeze(b"".join(wire.pack_address(address) + struct.pack("!I", counter)
                                      for address, counter in self.state.counted().items()))
 
-    def readClock(self, clockBytes):
+    def read_clock(self, clock_bytes):
         clock = {}
-        clockBytes = wire.unsqueeze(clockBytes)
-        for at in range(0, len(clockBytes) - 9, 10):
-            clock[wire.unpackAddress(clockBytes[at:at + 6])] = struct.unpack_from("!I", clockBytes, at + 6)[0]
+        clock_bytes = wire.unsqueeze(clock_bytes)
+        for at in range(0, len(clock_bytes) - 9, 10):
+            clock[wire.unpack_address(clock_bytes[at:at + 6])] = struct.unpack_from("!I", clock_bytes, at + 6)[0]
         return clock
 
-    def packedState(self, base=None, baseMark=0):
+    def packed_state(self, base=None, base_mark=0):
         """The state for a message, whole or what the holder of a clock lacks: JSON inside the flexbuffer, since many
         states go about while a fleet changes and the library for flexbuffers is slow; packed once for all who are at the
         same mark."""
-        if self.packedOf is not self.state:
-            self.packedOf = self.state
+        if self.packed_of is not self.state:
+            self.packed_of = self.state
             self.packed = {}
-        packed = self.packed.get(baseMark)
+        packed = self.packed.get(base_mark)
         if packed is None:
             message = self.state.message(base)
             packed = b"" if base and not (message[0] or message[1] or message[5]) else wire.squeeze(
                 json.dumps(message, separators=(",", ":")).encode())
-            self.packed[baseMark] = packed
+            self.packed[base_mark] = packed
         return packed
 
-    def sendState(self, address, base=None, baseMark=0):
+    def send_state(self, address, base=None, base_mark=0):
         """Sends the state: what the holder of the clock `base`, known to it by `baseMark`, lacks. The whole goes to one
         without a base, and where the clocks say that nothing is lacking though the marks differ; but once a round."""
-        packed = self.packedState(base, baseMark)
+        packed = self.packed_state(base, base_mark)
         if not base or not packed:
-            nowMs = self.context.nowMs()
-            self.wholeMs = {to: ms for to, ms in self.wholeMs.items() if nowMs - ms < self.intervalMs * 0.4}
-            if address in self.wholeMs:
+            now_ms = self.context.now_ms()
+            self.whole_ms = {to: ms for to, ms in self.whole_ms.items() if now_ms - ms < self.interval_ms * 0.4}
+            if address in self.whole_ms:
                 return
-            self.wholeMs[address] = nowMs
-            packed, baseMark = self.packedState(), 0
-        self.sendTo(address, wire.pack([wire.STATE, self.me.address, packed, self.state.mark, baseMark]))
+            self.whole_ms[address] = now_ms
+            packed, base_mark = self.packed_state(), 0
+        self.send_to(address, wire.pack([wire.STATE, self.me.address, packed, self.state.mark, base_mark]))
 
-    def sendTo(self, address, data):
+    def send_to(self, address, data):
         if self.transport is not None and len(data) <= DATAGRAM_BYTES:
             self.transport.sendto(data, wire.pair(address))
 
@@ -402,22 +402,22 @@
         try:
             message = wire.unpack(data, "gossip", peer)
             kind, sender = message[0], message[1]
-            sortKey(sender)
+            sort_key(sender)
             if kind == wire.OVERVIEW:
-                self.heardOverview(sender, message)
+                self.heard_overview(sender, message)
             elif kind == wire.STATE:
-                self.arrivedState(sender, *message[2:])
+                self.arrived_state(sender, *message[2:])
             elif kind == wire.STATE_WANTED:
                 self.wanted(sender, *message[2:])
         except Exception as problem:
             self.context.log.warning("membership: unreadable gossip from %s: %r.", peer, problem)
 
-    def heardOverview(self, sender, message):
-        _, _, clockBytes, markBytes, rowBytes, seen, epoch, keyed = message
-        nowMs = self.context.nowMs()
-        marks = struct.unpack(f"!{len(markBytes) // 4}I", markBytes)
+    def heard_overview(self, sender, message):
+        _, _, clock_bytes, mark_bytes, row_bytes, seen, epoch, keyed = message
+        now_ms = self.context.now_ms()
+        marks = struct.unpack(f"!{len(mark_bytes) // 4}I", mark_bytes)
         rows, suspicions, me = self.rows, self.suspicions, self.me.address
-        for member, heartbeat, mark in self.rowsOf(rowBytes, marks, keyed):
+        for member, heartbeat, mark in self.rows_of(row_bytes, marks, keyed):
             address = member.address
             known = rows.get(address)
             if known is not None and known[0] == member.uid:
@@ -425,11 +425,11 @@
                     continue
                 suspicion = suspicions.get(address)
                 if suspicion is not None:
-                    suspicion.heard(nowMs)
+                    suspicion.heard(now_ms)
             elif address == me:
                 continue
             else:
-                suspicions[address] = Suspicion(nowMs, self.expectedMs(member))
+                suspicions[address] = Suspicion(now_ms, self.expected_ms(member))
             rows[address] = (member.uid, heartbeat, mark)
         seen = json.loads(seen) if seen else ()
         for observer, heartbeat, addresses in seen:
@@ -438,61 +438,61 @@
                 self.observed[observer] = (heartbeat, frozenset(addresses))
         if sender in self.observed and not any(observer == sender for observer, _, _ in seen):
             self.observed.pop(sender)
-        if epoch > self.epoch and self.epochHook is not None:
-            self.epochHook(sender, epoch)
+        if epoch > self.epoch and self.epoch_hook is not None:
+            self.epoch_hook(sender, epoch)
         if marks[0] == self.state.mark:
             return
-        if clockBytes:
-            theirs = self.readClock(clockBytes)
+        if clock_bytes:
+            theirs = self.read_clock(clock_bytes)
             if clocks.compare(self.state.clock, theirs, self.state.removed()) == clocks.NEWER:
-                self.sendTo(sender, wire.pack([wire.STATE_WANTED, self.me.address, self.state.mark, self.clockBytes()]))
+                self.send_to(sender, wire.pack([wire.STATE_WANTED, self.me.address, self.state.mark, self.clock_bytes()]))
             else:
-                self.sendState(sender, theirs, marks[0])
+                self.send_state(sender, theirs, marks[0])
         elif marks[0] in self.past:
-            self.sendState(sender, self.past[marks[0]], marks[0])
+            self.send_state(sender, self.past[marks[0]], marks[0])
         else:
-            self.sendTo(sender, wire.pack([wire.STATE_WANTED, self.me.address, self.state.mark, b""]))
+            self.send_to(sender, wire.pack([wire.STATE_WANTED, self.me.address, self.state.mark, b""]))
 
-    def wanted(self, sender, mark, clockBytes):
+    def wanted(self, sender, mark, clock_bytes):
         """Another lacks what is here: it gets that, or where its mark says nothing here, the question for its clock."""
         if mark == self.state.mark:
             return
-        base = self.readClock(clockBytes) if clockBytes else self.past.get(mark)
+        base = self.read_clock(clock_bytes) if clock_bytes else self.past.get(mark)
         if base is not None:
-            self.sendState(sender, base, mark)
+            self.send_state(sender, base, mark)
         else:
-            self.sendTo(sender, self.overview(True))
+            self.send_to(sender, self.overview(True))
 
-    def arrivedState(self, sender, packed, mark, baseMark):
+    def arrived_state(self, sender, packed, mark, base_mark):
         """A state, whole or on top of a base; on top of a base that this life never held it can't be used."""
         if mark == self.state.mark:
             return
-        if baseMark and baseMark not in self.past:
-            self.sendTo(sender, self.overview(True))
+        if base_mark and base_mark not in self.past:
+            self.send_to(sender, self.overview(True))
             return
-        theirs = fromMessage(json.loads(wire.unsqueeze(packed)))
-        self.heardState(sender, theirs, mark, self.past[baseMark] if baseMark else {})
+        theirs = from_message(json.loads(wire.unsqueeze(packed)))
+        self.heard_state(sender, theirs, mark, self.past[base_mark] if base_mark else {})
 
-    def rowsOf(self, rowBytes, marks, keyed):
+    def rows_of(self, row_bytes, marks, keyed):
         """The rows of an overview: (member, heartbeat, its mark)."""
         if not keyed:
             counting = self.state.counting()
-            if marks[0] != self.state.mark or len(rowBytes) != 2 * len(counting):
+            if marks[0] != self.state.mark or len(row_bytes) != 2 * len(counting):
                 return ()
-            return zip(counting, struct.unpack(f"!{len(counting)}H", rowBytes), [marks[0]] * len(counting))
-        count = len(rowBytes) // 7
-        beats = struct.unpack_from(f"!{count}H", rowBytes)
-        keys = struct.unpack_from(f"!{count}I", rowBytes, 2 * count)
+            return zip(counting, struct.unpack(f"!{len(counting)}H", row_bytes), [marks[0]] * len(counting))
+        count = len(row_bytes) // 7
+        beats = struct.unpack_from(f"!{count}H", row_bytes)
+        keys = struct.unpack_from(f"!{count}I", row_bytes, 2 * count)
         known = self.keys
-        return [(known[key], beat, marks[at]) for key, beat, at in zip(keys, beats, rowBytes[6 * count:])
+        return [(known[key], beat, marks[at]) for key, beat, at in zip(keys, beats, row_bytes[6 * count:])
                 if key in known and at < len(marks)]
 
-    def heardState(self, sender, theirs, mark=None, base=None):
+    def heard_state(self, sender, theirs, mark=None, base=None):
         """Takes in another's state, given on top of `base`: both are joined, and the sender gets what it lacks."""
         mark = theirs.mark if mark is None else mark
         if mark == self.state.mark:
             return
         self.put(merged(self.state, theirs))
-        self.ensureSelf()
+        self.ensure_self()
         if self.state.mark != mark:
-            self.sendState(sender, clocks.joined(base, theirs.clock) if base else None, mark if base else 0)
+            self.send_state(sender, clocks.joined(base, theirs.clock) if base else None, mark if base else 0)
--- a/stagevale/membership/state.py
+++ b/stagevale/membership/state.py
@@ -67,7 +67,7 @@
 
 
 @functools.lru_cache(maxsize=16384)
-def sortKey(address):
+def sort_key(address):
     """Orders addresses by number, as the leader's order wants it."""
     ip, _, port = address.rpartition(":")
     return tuple(int(part) for part in ip.split(".")) + (int(port),)
@@ -80,18 +80,18 @@
     dots of theirs: whoever has a clock that covers a dot has what it wrote, so only the rest need be sent.
     """
 
-    __slots__ = ("clock", "members", "tableEpoch", "table", "moves", "tableDots", "mark", "inOrder", "inCount")
+    __slots__ = ("clock", "members", "table_epoch", "table", "moves", "table_dots", "mark", "in_order", "in_count")
 
-    def __init__(self, clock, members, tableEpoch, table, moves, tableDots=()):
+    def __init__(self, clock, members, table_epoch, table, moves, table_dots=()):
         self.clock = clock
         self.members = members
-        self.tableEpoch = tableEpoch
+        self.table_epoch = table_epoch
         self.table = table
         self.moves = moves
-        self.tableDots = tableDots
+        self.table_dots = table_dots
         self.mark = clocks.mark(clock, self.removed())
-        self.inOrder = None
-        self.inCount = None
+        self.in_order = None
+        self.in_count = None
 
     def removed(self):
         return {address for address, member in self.members.items() if member.state == REMOVED}
@@ -103,17 +103,17 @@
 
     def sorted(self):
         """Members in sorted order of their addresses."""
-        if self.inOrder is None:
-            self.inOrder = tuple(self.members[address] for address in sorted(self.members, key=sortKey))
-        return self.inOrder
+        if self.in_order is None:
+            self.in_order = tuple(self.members[address] for address in sorted(self.members, key=sort_key))
+        return self.in_order
 
     def counting(self):
         """Members that count for convergence, in sorted order."""
-        if self.inCount is None:
-            self.inCount = tuple(member for member in self.sorted() if member.state in COUNTED)
-        return self.inCount
+        if self.in_count is None:
+            self.in_count = tuple(member for member in self.sorted() if member.state in COUNTED)
+        return self.in_count
 
-    def changed(self, by, members=None, tableEpoch=None, table=None, moves=None):
+    def changed(self, by, members=None, table_epoch=None, table=None, moves=None):
         """This state after a change made by `by`; what it writes bears the change's dot."""
         clock = clocks.raised(self.clock, by)
         dot = [by, clock[by]]
@@ -122,26 +122,26 @@
         for member in members.values():
             if member.dot is None:
                 member.dot = dot
-        tableDots = self.tableDots
-        if tableEpoch is not None and tableEpoch != self.tableEpoch:
-            tableDots = (dot,)
+        table_dots = self.table_dots
+        if table_epoch is not None and table_epoch != self.table_epoch:
+            table_dots = (dot,)
         elif moves is not None and moves is not self.moves:
-            tableDots = latest(tableDots + (dot,))
+            table_dots = latest(table_dots + (dot,))
         return GossipState(clock, members,
-                           self.tableEpoch if tableEpoch is None else tableEpoch,
+                           self.table_epoch if table_epoch is None else table_epoch,
                            self.table if table is None else table,
-                           self.moves if moves is None else moves, tableDots)
+                           self.moves if moves is None else moves, table_dots)
 
     def message(self, base=None):
         """The state for a message: whole, or what whoever has the clock `base` lacks."""
         base = base or {}
-        told = any(not clocks.covers(base, dot) for dot in self.tableDots)
+        told = any(not clocks.covers(base, dot) for dot in self.table_dots)
         return [[[address, counter] for address, counter in clocks.ahead(self.counted(), base).items()],
                 [member.fields() for member in self.members.values() if not clocks.covers(base, member.dot)],
-                self.tableEpoch if told else 0,
+                self.table_epoch if told else 0,
                 [[part, list(group)] for part, group in self.table.items()] if told else [],
                 [move.fields() for move in self.moves] if told else [],
-                list(self.tableDots) if told else []]
+                list(self.table_dots) if told else []]
 
 
 def latest(dots):
@@ -152,19 +152,19 @@
     return tuple([changer, counter] for changer, counter in last.items())
 
 
-def fromMessage(body):
+def from_message(body):
     """A gossip state out of a message; a misshapen one raises ValueError or its kin."""
-    clockRows, memberRows, tableEpoch, tableRows, moveRows, tableDots = body
+    clock_rows, member_rows, table_epoch, table_rows, move_rows, table_dots = body
     members = {}
-    for row in memberRows:
+    for row in member_rows:
         member = Member(*row)
-        sortKey(member.address)
+        sort_key(member.address)
         if not 0 <= member.state <= REMOVED:
             raise ValueError("member state")
         members[member.address] = member
-    return GossipState({address: int(counter) for address, counter in clockRows}, members, int(tableEpoch),
-                       {part: tuple(group) for part, group in tableRows},
-                       tuple(Move(*row) for row in moveRows), tuple(tableDots))
+    return GossipState({address: int(counter) for address, counter in clock_rows}, members, int(table_epoch),
+                       {part: tuple(group) for part, group in table_rows},
+                       tuple(Move(*row) for row in move_rows), tuple(table_dots))
 
 
 def merged(mine, theirs):
@@ -177,10 +177,10 @@
         known = members.get(address)
         if known is None or member.rank() > known.rank():
             members[address] = member
-    later = max(mine, theirs, key=lambda state: (state.tableEpoch, sorted(state.table.items())))
+    later = max(mine, theirs, key=lambda state: (state.table_epoch, sorted(state.table.items())))
     moves = {move.key(): move for move in later.moves}
     for move in mine.moves + theirs.moves:
         if move.key() in moves and move.status == COMPLETE:
             moves[move.key()] = move
-    return GossipState(clocks.joined(mine.clock, theirs.clock), members, later.tableEpoch, later.table,
-                       tuple(moves[key] for key in sorted(moves)), latest(mine.tableDots + theirs.tableDots))
+    return GossipState(clocks.joined(mine.clock, theirs.clock), members, later.table_epoch, later.table,
+                       tuple(moves[key] for key in sorted(moves)), latest(mine.table_dots + theirs.table_dots))
--- a/stagevale/membership/suspicion.py
+++ b/stagevale/membership/suspicion.py
@@ -5,7 +5,7 @@
 KEPT_GAPS = 24
 
 
-def chanceAfter(y):
+def chance_after(y):
     """The chance that a silence of `y` deviations over the mean still ends, by the logistic approximation."""
     exponent = -y * (1.5976 + 0.070566 * y * y)
     if exponent < -700:
@@ -14,38 +14,38 @@
     return e / (1.0 + e) if y > 0 else 1.0 - 1.0 / (1.0 + e)
 
 
-def deviationsAt(threshold):
+def deviations_at(threshold):
     """How many deviations over the mean a silence lasts when the suspicion level reaches `threshold`."""
     low, high = 0.0, 60.0
     for _ in range(60):
         middle = (low + high) / 2.0
-        if chanceAfter(middle) > 10.0 ** -threshold:
+        if chance_after(middle) > 10.0 ** -threshold:
             low = middle
         else:
             high = middle
     return high
 
 
-LIMIT_DEVIATIONS = deviationsAt(THRESHOLD)
+LIMIT_DEVIATIONS = deviations_at(THRESHOLD)
 
 
 class Suspicion:
     """Arrival history of one member's heartbeats, with its sums kept up so that a look costs nothing while it speaks."""
 
-    __slots__ = ("lastMs", "gaps", "total", "squares", "leastDeviationMs", "limitMs")
+    __slots__ = ("last_ms", "gaps", "total", "squares", "least_deviation_ms", "limit_ms")
 
-    def __init__(self, nowMs, expectedMs):
-        self.lastMs = nowMs
-        self.gaps = [expectedMs, expectedMs * 1.5]
-        self.total = expectedMs * 2.5
-        self.squares = expectedMs * expectedMs * 3.25
-        self.leastDeviationMs = expectedMs * 0.4
-        self.limitMs = None
+    def __init__(self, now_ms, expected_ms):
+        self.last_ms = now_ms
+        self.gaps = [expected_ms, expected_ms * 1.5]
+        self.total = expected_ms * 2.5
+        self.squares = expected_ms * expected_ms * 3.25
+        self.least_deviation_ms = expected_ms * 0.4
+        self.limit_ms = None
 
-    def heard(self, nowMs):
+    def heard(self, now_ms):
         """Notes that the member's heartbeat has advanced."""
         gaps = self.gaps
-        gap = min(nowMs - self.lastMs, gaps[0] * 3)
+        gap = min(now_ms - self.last_ms, gaps[0] * 3)
         gaps.append(gap)
         self.total += gap
         self.squares += gap * gap
@@ -53,24 +53,24 @@
             oldest = gaps.pop(1)
             self.total -= oldest
             self.squares -= oldest * oldest
-        self.lastMs = nowMs
-        self.limitMs = None
+        self.last_ms = now_ms
+        self.limit_ms = None
 
-    def deviationMs(self, mean):
+    def deviation_ms(self, mean):
         variance = max(0.0, self.squares / len(self.gaps) - mean * mean)
-        return max(math.sqrt(variance), self.leastDeviationMs)
+        return max(math.sqrt(variance), self.least_deviation_ms)
 
-    def suspected(self, nowMs):
+    def suspected(self, now_ms):
         """True once the suspicion level is over the threshold."""
-        silentMs = nowMs - self.lastMs
-        if self.limitMs is None:
+        silent_ms = now_ms - self.last_ms
+        if self.limit_ms is None:
             mean = self.total / len(self.gaps)
-            if silentMs <= mean:
+            if silent_ms <= mean:
                 return False
-            self.limitMs = mean + LIMIT_DEVIATIONS * self.deviationMs(mean)
-        return silentMs > self.limitMs
+            self.limit_ms = mean + LIMIT_DEVIATIONS * self.deviation_ms(mean)
+        return silent_ms > self.limit_ms
 
-    def phi(self, nowMs):
+    def phi(self, now_ms):
         """The suspicion level now."""
         mean = self.total / len(self.gaps)
-        return -math.log10(max(chanceAfter((nowMs - self.lastMs - mean) / self.deviationMs(mean)), 1e-300))
+        return -math.log10(max(chance_after((now_ms - self.last_ms - mean) / self.deviation_ms(mean)), 1e-300))
--- a/stagevale/partners/__init__.py
+++ b/stagevale/partners/__init__.py
@@ -63,7 +63,7 @@
         self.restrictions = ()
         self.route = None
 
-    def withheldBy(self, path, area, region, tenant):
+    def withheld_by(self, path, area, region, tenant):
         """The restriction that withholds a job on this path from here, or None."""
         for restriction in self.restrictions:
             if path.startswith(restriction.prefix) and restriction.binds(area, region, tenant):
@@ -79,14 +79,14 @@
 class Table:
     """All partners' routes as every daemon holds them. A pure function of configuration and offers."""
 
-    __slots__ = ("rows", "byHost", "mark")
+    __slots__ = ("rows", "by_host", "mark")
 
     def __init__(self, rows):
         self.rows = tuple(rows)
-        self.byHost = {}
+        self.by_host = {}
         for row in rows:
-            self.byHost.setdefault(row.host, {}).setdefault(row.partner, []).append(row)
-        for partners in self.byHost.values():
+            self.by_host.setdefault(row.host, {}).setdefault(row.partner, []).append(row)
+        for partners in self.by_host.values():
             for offered in partners.values():
                 offered.sort(key=lambda row: -len(row.prefix))
         text = json.dumps([[row.fields(), row.source] for row in rows], sort_keys=True, separators=(",", ":"))
@@ -96,10 +96,10 @@
         """Each partner's word on a job: (row, why it is not used or ""). A partner whose longest prefix is withheld or
         dropped has no other word: the job never slips to a wider route of that partner."""
         words = []
-        for partner in sorted(self.byHost.get(host, ())):
-            for row in self.byHost[host][partner]:
+        for partner in sorted(self.by_host.get(host, ())):
+            for row in self.by_host[host][partner]:
                 if path.startswith(row.prefix):
-                    held = row.withheldBy(path, area, region, tenant)
+                    held = row.withheld_by(path, area, region, tenant)
                     words.append((row, row.reason if not row.kept else
                                   f"restriction {held.words()}" if held is not None else ""))
                     break
@@ -121,7 +121,7 @@
                 for row in self.rows if row.kept}
 
 
-def mergedTable(config, offers):
+def merged_table(config, offers):
     """The table of a configuration (read) and offers: name to (version, text); an empty text is a withdrawn one."""
     own = {(route["host"].lower(), route["pathPrefix"]): route.get("name") or route["pathPrefix"]
            for route in config.get("routes", ())}
@@ -157,9 +157,9 @@
     return Table(rows)
 
 
-def tableOf(value):
+def table_of(value):
     """The merged table of a register's value."""
-    return mergedTable(json.loads(value.config) if value.config else {}, value.offers)
+    return merged_table(json.loads(value.config) if value.config else {}, value.offers)
 
 
 NO_TABLE = Table(())
--- a/stagevale/partners/checking.py
+++ b/stagevale/partners/checking.py
@@ -5,8 +5,8 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.configuration.checking import ROUTE, ConfigProblem, checkVersion, fingerprint
-from stagevale.partners import tableOf
+from stagevale.configuration.checking import ROUTE, ConfigProblem, check_version, fingerprint
+from stagevale.partners import table_of
 
 NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
 NAMES = t.List(t.String()) | t.Null()
@@ -24,14 +24,14 @@
     }),
 })
 OFFER = t.Dict({
-    t.Key("version"): checkVersion,
-    t.Key("parentVersion", default=0): checkVersion,
+    t.Key("version"): check_version,
+    t.Key("parentVersion", default=0): check_version,
     t.Key("routes"): t.List(ROUTE),
     t.Key("restrictions", optional=True): t.List(RESTRICTION) | t.Null(),
 }, allow_extra="*")
 
 
-def readOffer(partner, text, config, offers, areas) -> Result:
+def read_offer(partner, text, config, offers, areas) -> Result:
     """The text of an offer as Ok(table), or Error(ConfigProblem) with the field that is wrong."""
     if not NAME.match(partner):
         return Error(ConfigProblem(400, "partner: want a name of letters, digits, dots, dashes"))
@@ -84,14 +84,14 @@
 
 def narrows(before, after):
     """True where the later value's table lets less through than the earlier one's."""
-    return not tableOf(before).allows() <= tableOf(after).allows()
+    return not table_of(before).allows() <= table_of(after).allows()
 
 
 def offered(value, payload, areas, outcome):
     """What an offer does: `outcome(status, text, value)`; payload is the partner's name, a line end, the offer."""
     partner, _, text = payload.partition("\n")
     config = json.loads(value.config) if value.config else {}
-    checked = readOffer(partner, text, config, value.offers, areas)
+    checked = read_offer(partner, text, config, value.offers, areas)
     if checked.is_error():
         return outcome(checked.error.status, checked.error.reason)
     table = checked.ok
@@ -118,7 +118,7 @@
     return outcome(200, "", value.after(offers={**value.offers, partner: (version, "")}))
 
 
-def readBack(value, partner, outcome):
+def read_back(value, partner, outcome):
     """The offer in force."""
     version, text = value.offers.get(partner, (0, ""))
     return outcome(200, text) if text else outcome(404, f"no offer of {partner}")
--- a/stagevale/placement/__init__.py
+++ b/stagevale/placement/__init__.py
@@ -1,14 +1,14 @@
 """Placement: which members keep which part of the state, and which registries feed the proxies of an area."""
 import zlib
 
-from stagevale.membership.state import AWAITING, COMPLETE, LEAVING, UP, Move, sortKey
+from stagevale.membership.state import AWAITING, COMPLETE, LEAVING, UP, Move, sort_key
 
 PARTS = tuple(f"part-{number}" for number in range(8))
 GROUP_SIZE = 3
 FEEDERS = 3
 
 
-def partOf(service):
+def part_of(service):
     """The part that a service's registrations fall into, by hash of its name."""
     return PARTS[zlib.crc32(service.encode()) % len(PARTS)]
 
@@ -17,9 +17,9 @@
     return zlib.crc32(f"{part} {address}".encode())
 
 
-def groupFor(part, registries):
+def group_for(part, registries):
     """A small group for a part: by rendezvous hash, one registry a region before a second of any."""
-    ordered = sorted(registries, key=lambda member: (-weight(part, member.address), sortKey(member.address)))
+    ordered = sorted(registries, key=lambda member: (-weight(part, member.address), sort_key(member.address)))
     group, regions = [], set()
     for member in ordered:
         if member.region not in regions and len(group) < GROUP_SIZE:
@@ -31,17 +31,17 @@
     return tuple(group)
 
 
-def feedersFor(area, region, registries):
+def feeders_for(area, region, registries):
     """The registries that feed an area's proxies, nearest first."""
     ordered = sorted(registries, key=lambda member: (member.area != area, member.region != region,
-                                                     weight(area, member.address), sortKey(member.address)))
+                                                     weight(area, member.address), sort_key(member.address)))
     return tuple(member.address for member in ordered[:FEEDERS])
 
 
-def frontsFor(area, region, ready):
+def fronts_for(area, region, ready):
     """The fronts for a client of an area, out of rows (front, area, region): its own, else near ones, else all."""
-    here = sorted(front for front, itsArea, _ in ready if itsArea == area)
-    near = sorted(front for front, _, itsRegion in ready if itsRegion == region)
+    here = sorted(front for front, its_area, _ in ready if its_area == area)
+    near = sorted(front for front, _, its_region in ready if its_region == region)
     return here or near or sorted(front for front, _, _ in ready)[:64]
 
 
@@ -56,19 +56,19 @@
         return None
     living = {member.address for member in members.values()
               if member.program == "registry" and member.state in (UP, LEAVING)}
-    newTable, newMoves = dict(table), []
+    new_table, new_moves = dict(table), []
     for move in moves:
         if move.status == COMPLETE:
-            newTable[move.part] = tuple(move.taker if address == move.giver else address
-                                        for address in newTable.get(move.part, ()))
-        elif move.giver in living and move.taker in living and move.giver in newTable.get(move.part, ()):
-            newMoves.append(move)
+            new_table[move.part] = tuple(move.taker if address == move.giver else address
+                                        for address in new_table.get(move.part, ()))
+        elif move.giver in living and move.taker in living and move.giver in new_table.get(move.part, ()):
+            new_moves.append(move)
     for part in PARTS:
-        wanted, held = groupFor(part, registries), newTable.get(part, ())
-        if any(move.part == part for move in newMoves):
+        wanted, held = group_for(part, registries), new_table.get(part, ())
+        if any(move.part == part for move in new_moves):
             continue
         if set(wanted) == set(held):
-            newTable[part] = wanted if not held else held
+            new_table[part] = wanted if not held else held
             continue
         comers = [address for address in wanted if address not in held]
         group = list(held)
@@ -80,14 +80,14 @@
                 if comers:
                     group.append(comers.pop(0))
             elif comers:
-                newMoves.append(Move(part, address, comers.pop(0), AWAITING))
+                new_moves.append(Move(part, address, comers.pop(0), AWAITING))
             else:
                 group.remove(address)
         group.extend(comers)
-        newTable[part] = tuple(group)
+        new_table[part] = tuple(group)
     for area, region in areas.items():
-        newTable["feeds-" + area] = feedersFor(area, region, registries)
-    newMoves = tuple(newMoves)
-    if newTable == table and [m.fields() for m in newMoves] == [m.fields() for m in moves]:
+        new_table["feeds-" + area] = feeders_for(area, region, registries)
+    new_moves = tuple(new_moves)
+    if new_table == table and [m.fields() for m in new_moves] == [m.fields() for m in moves]:
         return None
-    return newTable, newMoves
+    return new_table, new_moves
--- a/stagevale/programs/__init__.py
+++ b/stagevale/programs/__init__.py
@@ -9,7 +9,7 @@
 
 from stagevale.context import Context
 from stagevale.membership import Membership
-from stagevale.settings import SettingsProblem, loadSettings, settingsPath
+from stagevale.settings import SettingsProblem, load_settings, settings_path
 from stagevale.wire.switchboard import Switchboard
 
 EXIT_MISUSE = 2
@@ -20,14 +20,14 @@
 
     __slots__ = ("context", "board", "membership", "program", "path", "stamp", "ending")
 
-    def __init__(self, context, program, portOffset, path):
+    def __init__(self, context, program, port_offset, path):
         settings = context.settings
         self.context = context
         self.program = program
         self.path = path
-        self.stamp = stampOf(path)
+        self.stamp = stamp_of(path)
         self.ending = False
-        address = f"{settings.ip}:{settings.innerPorts[0] + portOffset}"
+        address = f"{settings.ip}:{settings.inner_ports[0] + port_offset}"
         front = settings.listen.get("front")
         self.board = Switchboard(context, address)
         self.membership = Membership(context, address, program, f"{front[0]}:{front[1]}" if front else "")
@@ -35,29 +35,29 @@
     def begin(self):
         self.board.start()
         self.membership.start()
-        self.context.after(1000, self.watchSettings)
+        self.context.after(1000, self.watch_settings)
 
-    def watchSettings(self):
+    def watch_settings(self):
         """Settings may change without a signal."""
-        self.context.after(1000, self.watchSettings)
-        stamp = stampOf(self.path)
+        self.context.after(1000, self.watch_settings)
+        stamp = stamp_of(self.path)
         if stamp != self.stamp:
             self.reload()
 
     def reload(self):
         """Reads the settings again; invalid ones are logged and the old ones stay."""
-        self.stamp = stampOf(self.path)
+        self.stamp = stamp_of(self.path)
         try:
-            settings = loadSettings(self.path)
+            settings = load_settings(self.path)
         except SettingsProblem as problem:
             self.context.log.error("%s: new settings are invalid, the old ones stay: %s.", self.program, problem)
             return
-        if settings.ip != self.context.settings.ip or settings.innerPorts != self.context.settings.innerPorts:
+        if settings.ip != self.context.settings.ip or settings.inner_ports != self.context.settings.inner_ports:
             self.context.log.error("%s: new settings move this daemon; that takes a restart.", self.program)
             return
         self.context.settings = settings
-        self.membership.contacts.extend(f"{ip}:{settings.innerPorts[0]}" for ip in settings.seeds
-                                        if f"{ip}:{settings.innerPorts[0]}" not in self.membership.contacts)
+        self.membership.contacts.extend(f"{ip}:{settings.inner_ports[0]}" for ip in settings.seeds
+                                        if f"{ip}:{settings.inner_ports[0]}" not in self.membership.contacts)
         self.context.log.info("%s: settings read again.", self.program)
 
     def end(self):
@@ -68,7 +68,7 @@
         self.context.loop.stop()
 
 
-def stampOf(path):
+def stamp_of(path):
     try:
         stat = os.stat(path)
     except OSError:
@@ -76,20 +76,20 @@
     return stat.st_mtime_ns, stat.st_size
 
 
-def run(makeDaemon, program):
+def run(make_daemon, program):
     """Runs a daemon until it ends; returns the exit code."""
     logging.set_stderrthreshold("info")
     logging.set_verbosity(logging.INFO)
     logging.use_absl_handler()
-    path = settingsPath()
+    path = settings_path()
     try:
-        settings = loadSettings(path)
+        settings = load_settings(path)
     except SettingsProblem as problem:
         sys.stderr.write(f"stagevale {program}: {path}: {problem}\n")
         return EXIT_MISUSE
     loop = asyncio.new_event_loop()
     context = Context(settings, loop, logging)
-    daemon = makeDaemon(context, path)
+    daemon = make_daemon(context, path)
 
     def end():
         if not daemon.ending:
--- a/stagevale/programs/registry.py
+++ b/stagevale/programs/registry.py
@@ -4,7 +4,7 @@
 from stagevale.configuration.disk import DiskRegister, Folder
 from stagevale.duties import USAGE_DUTY, DutyKeeper
 from stagevale.duties.counts import Ledger
-from stagevale.duties.trueTime import TrueTime
+from stagevale.duties.true_time import TrueTime
 from stagevale.placement import place
 from stagevale.programs import Daemon
 from stagevale.registrations.calls import CallStream, dispatcher
@@ -29,44 +29,44 @@
 
     def begin(self):
         super().begin()
-        folder = self.context.settings.dataPath
+        folder = self.context.settings.data_path
         if folder:
             folder = os.path.join(folder, "registry")
             os.makedirs(folder, exist_ok=True)
-            self.desk.remember(self.openDisk(folder))
+            self.desk.remember(self.open_disk(folder))
             if USAGE_DUTY in self.context.settings.duties:
-                self.takePart(self.openDisk(self.dutiesFolder()))
+                self.take_part(self.open_disk(self.duties_folder()))
         self.desk.start()
         for name in ("control", "directory"):
             address = self.context.settings.listen.get(name)
             if address:
                 self.context.listen(address, lambda: CallStream(self.context, self.dispatch))
 
-    def dutiesFolder(self):
-        folder = os.path.join(self.context.settings.dataPath, "duties")
+    def duties_folder(self):
+        folder = os.path.join(self.context.settings.data_path, "duties")
         os.makedirs(folder, exist_ok=True)
         return folder
 
-    def takePart(self, disk):
+    def take_part(self, disk):
         """Takes part in the duties at the platform; without any in the settings this costs nothing."""
         desk = self.desk
-        desk.trueTime = TrueTime(self.context, desk.coreSize)
+        desk.true_time = TrueTime(self.context, desk.core_size)
         desk.ledger = Ledger(self.context.settings.bounds, lambda: list(desk.subscribers))
         self.duties = desk.duties = DutyKeeper(self.context, self.board, self.membership, disk, desk.ledger,
-                                               desk.trueTime)
+                                               desk.true_time)
         self.duties.start()
 
-    def openDisk(self, folder):
+    def open_disk(self, folder):
         return DiskRegister(Folder(folder))
 
     def end(self):
         """Leaves in order: hands its parts over, then exits and ends."""
         self.desk.stopping = True
         if self.duties is not None:
-            self.duties.handOver()
+            self.duties.hand_over()
         self.membership.leave()
         for part in list(self.desk.owners):
             if self.desk.owners[part][0] == self.board.address:
                 del self.desk.owners[part]
-        graceMs = self.context.settings.bounds.gracePeriodS * 1000.0
-        self.context.after(graceMs * 0.4, self.finish)
+        grace_ms = self.context.settings.bounds.grace_period_s * 1000.0
+        self.context.after(grace_ms * 0.4, self.finish)
--- a/stagevale/programs/store.py
+++ b/stagevale/programs/store.py
@@ -14,7 +14,7 @@
 
     def __init__(self, context, path):
         super().__init__(context, "store", 1, path)
-        folder = os.path.join(context.settings.dataPath or ".", "store")
+        folder = os.path.join(context.settings.data_path or ".", "store")
         os.makedirs(folder, exist_ok=True)
         self.keeper = Keeper(context, self.board, self.membership, DiskRegister(Folder(folder)))
         self.membership.placer = lambda members, table, moves: place(members, table, moves, context.settings.areas)
@@ -25,7 +25,7 @@
 
     def end(self):
         """Gives its duty up and leaves."""
-        self.keeper.handOver()
+        self.keeper.hand_over()
         self.membership.leave()
         self.membership.exit()
-        self.context.after(self.context.settings.bounds.gracePeriodS * 200.0, self.finish)
+        self.context.after(self.context.settings.bounds.grace_period_s * 200.0, self.finish)
--- a/stagevale/registrations/calls.py
+++ b/stagevale/registrations/calls.py
@@ -15,7 +15,7 @@
 class CallStream(asyncio.Protocol):
     """One stream of a caller; calls are answered one after the other."""
 
-    __slots__ = ("context", "dispatch", "transport", "parser", "request", "body", "size", "busy", "timer", "idleMs")
+    __slots__ = ("context", "dispatch", "transport", "parser", "request", "body", "size", "busy", "timer", "idle_ms")
 
     def __init__(self, context, dispatch):
         self.context = context
@@ -27,7 +27,7 @@
         self.size = 0
         self.busy = False
         self.timer = None
-        self.idleMs = context.settings.bounds.contactMs * 4
+        self.idle_ms = context.settings.bounds.contact_ms * 4
 
     def connection_made(self, transport):
         self.transport = transport
@@ -36,7 +36,7 @@
     def rest(self):
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.context.after(self.idleMs, self.transport.close)
+        self.timer = self.context.after(self.idle_ms, self.transport.close)
 
     def data_received(self, data):
         self.parser.receive_data(data)
@@ -119,7 +119,7 @@
     """A body that can't be taken; the message names the field."""
 
 
-def readBeat(body):
+def read_beat(body):
     """The body of a heartbeat as a table, or a Problem."""
     try:
         table = json.loads(body)
@@ -153,7 +153,7 @@
     return table
 
 
-def dispatcher(context, desk, ttlS):
+def dispatcher(context, desk, ttl_s):
     """The dispatch for one registry: every call from outside comes through here."""
     areas = context.settings.areas
 
@@ -169,7 +169,7 @@
             if shape[2] == "leave":
                 return desk.leave(shape[1], answer)
             try:
-                table = readBeat(body)
+                table = read_beat(body)
             except Problem as problem:
                 return answer(400, {"error": str(problem)})
             return desk.beat(shape[1], table, answer)
@@ -180,7 +180,7 @@
             fronts = desk.resolve(asked.get("zone", [""])[0], asked.get("region", [""])[0])
             if not fronts:
                 return answer(503, {"error": "no front is ready"})
-            return answer(200, {"addresses": fronts[:64], "ttlS": ttlS})
+            return answer(200, {"addresses": fronts[:64], "ttlS": ttl_s})
         if shape == ("config", "replace"):
             if method != "POST":
                 return answer(405, {"error": "want POST"})
@@ -194,15 +194,15 @@
                 return answer(405, {"error": "want GET"})
             return desk.order("read", "", ordered(answer))
         if shape[:1] == ("partners",):
-            return partnerCall(method, shape[1:], query, body, answer)
+            return partner_call(method, shape[1:], query, body, answer)
         if shape[:1] == ("rollouts",):
-            return rolloutCall(method, shape[1:], body, answer)
+            return rollout_call(method, shape[1:], body, answer)
         if len(shape) == 2 and shape[0] == "sessions":
             if method != "GET":
                 return answer(405, {"error": "want GET"})
             if not shape[1] or len(shape[1]) > 256:
                 return answer(400, {"error": "session: want a text of at most 256 bytes"})
-            return desk.showSession(shape[1], answer)
+            return desk.show_session(shape[1], answer)
         if shape == ("stand",):
             if method != "GET":
                 return answer(405, {"error": "want GET"})
@@ -215,11 +215,11 @@
             return desk.order("evacuate" if shape[2] == "begin" else "takeBack", shape[1], ordered(answer))
         return answer(404, {"error": "no such call"})
 
-    def partnerCall(method, shape, query, body, answer):
+    def partner_call(method, shape, query, body, answer):
         if shape in ((), ("explain",)):
             if method != "GET":
                 return answer(405, {"error": "want GET"})
-            return desk.explain(parse_qs(query), answer) if shape else desk.partnerTable(answer)
+            return desk.explain(parse_qs(query), answer) if shape else desk.partner_table(answer)
         if len(shape) != 2 or shape[1] != "offer":
             return answer(404, {"error": "no such call"})
         if method == "GET":
@@ -238,7 +238,7 @@
             return answer(400, {"error": "partner: want a name of letters, digits, dots, dashes"})
         return desk.order("offer", f"{shape[0]}\n{text}", ordered(answer))
 
-    def rolloutCall(method, shape, body, answer):
+    def rollout_call(method, shape, body, answer):
         if len(shape) > 2 or "\n" in "".join(shape):
             return answer(404, {"error": "no such call"})
         if len(shape) == 2:
@@ -248,7 +248,7 @@
                 return answer(405, {"error": "want POST"})
             return desk.order("moveRollout", f"{shape[0]}\n{shape[1]}", ordered(answer))
         if method == "GET":
-            return desk.showRollouts(shape[0] if shape else "", answer)
+            return desk.show_rollouts(shape[0] if shape else "", answer)
         if not shape or method not in ("PUT", "DELETE"):
             return answer(405, {"error": "want PUT, GET or DELETE" if shape else "want GET"})
         if method == "DELETE":
@@ -259,7 +259,7 @@
             text = body.decode()
         except UnicodeDecodeError:
             return answer(400, {"error": "the body is not UTF-8"})
-        return desk.startRollout(shape[0], text, ordered(answer))
+        return desk.start_rollout(shape[0], text, ordered(answer))
 
     def ordered(answer):
         def give(status, text):
