--- a/stagevale/registrations/desk.py
+++ b/stagevale/registrations/desk.py
@@ -5,12 +5,12 @@
 import zlib
 
 from stagevale import wire
-from stagevale.ballots import Round, Voter, asBallot
-from stagevale.configuration.value import readValue
+from stagevale.ballots import Round, Voter, as_ballot
+from stagevale.configuration.value import read_value
 from stagevale.membership.state import AWAITING, LEAVING, STATE_NAMES, UP
-from stagevale.partners import NO_TABLE, tableOf
-from stagevale.placement import PARTS, frontsFor, partOf
-from stagevale.registrations import DRAINING, GONE, READY, Life, Lives, lifeFromFields
+from stagevale.partners import NO_TABLE, table_of
+from stagevale.placement import PARTS, fronts_for, part_of
+from stagevale.registrations import DRAINING, GONE, READY, Life, Lives, life_from_fields
 
 UNHEARD_BEATS = 2.6
 FEED_SHARE = 0.05
@@ -20,17 +20,17 @@
 class Subscriber:
     """A proxy that this registry feeds."""
 
-    __slots__ = ("address", "front", "area", "region", "ready", "serial", "heardMs", "waiting", "welcomed", "report",
+    __slots__ = ("address", "front", "area", "region", "ready", "serial", "heard_ms", "waiting", "welcomed", "report",
                  "table")
 
-    def __init__(self, address, front, area, region, ready, serial, heardMs):
+    def __init__(self, address, front, area, region, ready, serial, heard_ms):
         self.address = address
         self.front = front
         self.area = area
         self.region = region
         self.ready = ready
         self.serial = serial
-        self.heardMs = heardMs
+        self.heard_ms = heard_ms
         self.waiting = False
         self.welcomed = False
         self.report = []
@@ -40,10 +40,10 @@
 class Desk:
     """One registry's knowledge of endpoints, proxies and the chosen configuration, and how it spreads."""
 
-    __slots__ = ("context", "board", "membership", "lives", "value", "valueHeardMs", "subscribers", "attached",
-                 "pingHeardMs", "voter", "owners", "rounds", "life", "heardIds", "pulling", "intervalMs", "ports",
-                 "startedMs", "stopping", "movesRunning", "roundNo", "disk", "savedMark", "saving", "trueTime", "ledger",
-                 "duties", "unfed", "feeding", "claimants", "confirming", "partners", "sessions", "openLog",
+    __slots__ = ("context", "board", "membership", "lives", "value", "value_heard_ms", "subscribers", "attached",
+                 "ping_heard_ms", "voter", "owners", "rounds", "life", "heard_ids", "pulling", "interval_ms", "ports",
+                 "started_ms", "stopping", "moves_running", "round_no", "disk", "saved_mark", "saving", "true_time", "ledger",
+                 "duties", "unfed", "feeding", "claimants", "confirming", "partners", "sessions", "open_log",
                  "outcomes")
 
     def __init__(self, context, board, membership):
@@ -52,24 +52,24 @@
         self.membership = membership
         self.lives = Lives()
         self.value = None
-        self.valueHeardMs = -1e12
+        self.value_heard_ms = -1e12
         self.subscribers = {}
         self.attached = {}
-        self.pingHeardMs = {}
+        self.ping_heard_ms = {}
         self.voter = Voter()
         self.owners = {}
         self.rounds = 0
-        self.roundNo = 0
+        self.round_no = 0
         self.life = f"{context.random.getrandbits(32):08x}"
-        self.heardIds = {}
+        self.heard_ids = {}
         self.pulling = False
-        self.intervalMs = context.settings.bounds.contactMs / 4.0
-        self.ports = context.settings.innerPorts
-        self.startedMs = context.nowMs()
+        self.interval_ms = context.settings.bounds.contact_ms / 4.0
+        self.ports = context.settings.inner_ports
+        self.started_ms = context.now_ms()
         self.stopping = False
-        self.movesRunning = set()
+        self.moves_running = set()
         self.disk = None
-        self.savedMark = None
+        self.saved_mark = None
         self.saving = False
         self.unfed = {}
         self.feeding = False
@@ -78,24 +78,24 @@
         self.confirming = False
         self.partners = NO_TABLE
         self.sessions = None
-        self.openLog = self.sessionLog
-        self.trueTime = self.ledger = self.duties = None
-        for kind, handler in ((wire.LIVES, self.onLives), (wire.HEARD, self.onHeard), (wire.PING, self.onPing),
-                              (wire.PART_WANTED, self.onPartWanted), (wire.CANVASS, self.onCanvass),
-                              (wire.HANDOFF, self.onHandoff), (wire.CHOSEN, self.onChosen),
-                              (wire.BEACON, self.onBeacon), (wire.SUBSCRIBE, self.onSubscribe),
-                              (wire.UNSUBSCRIBE, self.onUnsubscribe), (wire.PULL, self.onPull),
-                              (wire.ATTACHED, self.onAttached), (wire.ATTACHED_WANTED, self.onAttachedWanted),
-                              (wire.READ_VALUE, self.onValueWanted), (wire.USAGE, self.onUsage),
-                              (wire.CLAIM_WANTED, self.onClaimWanted)):
+        self.open_log = self.session_log
+        self.true_time = self.ledger = self.duties = None
+        for kind, handler in ((wire.LIVES, self.on_lives), (wire.HEARD, self.on_heard), (wire.PING, self.on_ping),
+                              (wire.PART_WANTED, self.on_part_wanted), (wire.CANVASS, self.on_canvass),
+                              (wire.HANDOFF, self.on_handoff), (wire.CHOSEN, self.on_chosen),
+                              (wire.BEACON, self.on_beacon), (wire.SUBSCRIBE, self.on_subscribe),
+                              (wire.UNSUBSCRIBE, self.on_unsubscribe), (wire.PULL, self.on_pull),
+                              (wire.ATTACHED, self.on_attached), (wire.ATTACHED_WANTED, self.on_attached_wanted),
+                              (wire.READ_VALUE, self.on_value_wanted), (wire.USAGE, self.on_usage),
+                              (wire.CLAIM_WANTED, self.on_claim_wanted)):
             board.on(kind, handler)
-        board.lostHooks.append(self.streamLost)
-        membership.changeHooks.append(self.placementChanged)
-        membership.epochHook = self.epochHeard
+        board.lost_hooks.append(self.stream_lost)
+        membership.change_hooks.append(self.placement_changed)
+        membership.epoch_hook = self.epoch_heard
 
     def start(self):
-        self.context.after(self.intervalMs * 0.05, self.tick)
-        self.context.after(self.intervalMs * 0.1, self.firstValue)
+        self.context.after(self.interval_ms * 0.05, self.tick)
+        self.context.after(self.interval_ms * 0.1, self.first_value)
 
     def remember(self, disk):
         """Begins from the endpoints that this registry knew when it last ran: hints, until beats say more."""
@@ -104,73 +104,73 @@
         def loaded(record, problem):
             if problem is not None or record is None:
                 return
-            nowMs = self.context.nowMs()
+            now_ms = self.context.now_ms()
             for row in wire.unpack(record, "load", "disk")[1]:
-                life = lifeFromFields(row, nowMs)
-                if life.id not in self.lives.byId:
-                    self.lives.merge(life, nowMs)
-            self.savedMark = self.lives.markOfAll()
-            self.feed(list(self.lives.byId.values()))
-            self.context.log.info("registry: remembers %d endpoints.", len(self.lives.byId))
+                life = life_from_fields(row, now_ms)
+                if life.id not in self.lives.by_id:
+                    self.lives.merge(life, now_ms)
+            self.saved_mark = self.lives.mark_of_all()
+            self.feed(list(self.lives.by_id.values()))
+            self.context.log.info("registry: remembers %d endpoints.", len(self.lives.by_id))
         self.context.disk(disk.load, loaded)
 
     def keep(self):
         """Saves what is known of endpoints, where that has changed."""
-        mark = self.lives.markOfAll()
-        if self.disk is None or self.saving or mark == self.savedMark:
+        mark = self.lives.mark_of_all()
+        if self.disk is None or self.saving or mark == self.saved_mark:
             return
         self.saving = True
-        nowMs = self.context.nowMs()
-        record = wire.pack([0, [life.fields(nowMs) for life in self.lives.byId.values()
+        now_ms = self.context.now_ms()
+        record = wire.pack([0, [life.fields(now_ms) for life in self.lives.by_id.values()
                                 if life.sound and life.state != GONE]])
 
         def saved(_, problem):
             self.saving = False
             if problem is None:
-                self.savedMark = mark
+                self.saved_mark = mark
         self.context.disk(lambda: self.disk.save(record), saved)
 
-    def firstValue(self):
+    def first_value(self):
         """Asks the stores until there is a value: proxies that start wait for it."""
         if self.value is None and not self.stopping:
-            self.pullValue()
-            self.context.after(self.intervalMs * 0.2, self.firstValue)
+            self.pull_value()
+            self.context.after(self.interval_ms * 0.2, self.first_value)
 
     # who keeps what
 
     def registries(self):
         return [member for member in self.membership.members("registry", (0, UP, LEAVING))]
 
-    def groupOf(self, part):
+    def group_of(self, part):
         """The members that keep a part: by the placement table, or the shared seeds before there is one."""
         group = self.membership.state.table.get(part)
         if group:
             return group
         return tuple(f"{ip}:{self.ports[0]}" for ip in self.context.settings.seeds)
 
-    def regionOf(self, address):
+    def region_of(self, address):
         member = self.membership.state.members.get(address)
         return member.region if member is not None else ""
 
-    def inContact(self):
+    def in_contact(self):
         """True while this registry hears a majority of the core machines, itself counted."""
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         machines = {member.machine for member in self.registries()}
         machines.add(self.membership.me.machine)
-        near = {address.rpartition(":")[0] for address, heardMs in self.pingHeardMs.items()
-                if nowMs - heardMs < self.intervalMs * (1.8 if self.near(address) else 2.6)}
+        near = {address.rpartition(":")[0] for address, heard_ms in self.ping_heard_ms.items()
+                if now_ms - heard_ms < self.interval_ms * (1.8 if self.near(address) else 2.6)}
         near.add(self.membership.me.machine)
         return len(near & machines) * 2 > len(machines)
 
-    def sessionLog(self):
+    def session_log(self):
         """Where session records are kept on this machine's disk."""
         from stagevale.affinity.log import SessionLog
         from stagevale.configuration.disk import Folder
-        folder = os.path.join(self.context.settings.dataPath, "sessions")
+        folder = os.path.join(self.context.settings.data_path, "sessions")
         os.makedirs(folder, exist_ok=True)
         return SessionLog(Folder(folder))
 
-    def coreSize(self):
+    def core_size(self):
         """How many core machines are thought to live, this one counted."""
         machines = {member.machine for member in self.registries()}
         machines.add(self.membership.me.machine)
@@ -178,55 +178,55 @@
 
     def young(self):
         """True for a while after the start, when silence of the others says nothing yet."""
-        return self.context.nowMs() - self.startedMs < self.intervalMs * 2
+        return self.context.now_ms() - self.started_ms < self.interval_ms * 2
 
     # news of lives
 
     def beat(self, id, table, answer):
         """A heartbeat; `answer(status, body)` is called once it is taken, or refused."""
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         details, status = table["details"], table["status"]
         comer = Life(id, details["service"], table["address"], details["zone"], details["slots"],
                      DRAINING if status["state"] == "draining" else READY, status["callSeq"], 0,
-                     status["callSeq"] if status["coldLeftMs"] > 0 else 0, status["coldLeftMs"], nowMs,
+                     status["callSeq"] if status["coldLeftMs"] > 0 else 0, status["coldLeftMs"], now_ms,
                      details.get("version", ""))
-        known = self.lives.byId.get(id)
-        if known is not None and comer.coldSeq and known.coldSeq and self.coldLeftMs(known, nowMs) > 0 \
-                and comer.coldMs <= self.coldLeftMs(known, nowMs) + self.intervalMs:
-            comer.coldSeq = known.coldSeq
-        self.takeIn(comer, answer)
+        known = self.lives.by_id.get(id)
+        if known is not None and comer.cold_seq and known.cold_seq and self.cold_left_ms(known, now_ms) > 0 \
+                and comer.cold_ms <= self.cold_left_ms(known, now_ms) + self.interval_ms:
+            comer.cold_seq = known.cold_seq
+        self.take_in(comer, answer)
 
-    def coldLeftMs(self, life, nowMs):
-        return life.coldMs - (nowMs - life.heardMs)
+    def cold_left_ms(self, life, now_ms):
+        return life.cold_ms - (now_ms - life.heard_ms)
 
     def leave(self, id, answer):
         """An endpoint's leave; an unknown one is taken as gone already."""
-        known = self.lives.byId.get(id)
+        known = self.lives.by_id.get(id)
         if known is None:
             answer(200, {})
             return
-        self.takeIn(Life(id, known.service, known.address, known.area, known.slots, GONE, known.callSeq, 0, 0, 0,
-                         self.context.nowMs()), answer)
+        self.take_in(Life(id, known.service, known.address, known.area, known.slots, GONE, known.call_seq, 0, 0, 0,
+                         self.context.now_ms()), answer)
 
-    def takeIn(self, comer, answer):
-        nowMs = self.context.nowMs()
-        if not self.inContact() and not self.young():
+    def take_in(self, comer, answer):
+        now_ms = self.context.now_ms()
+        if not self.in_contact() and not self.young():
             answer(503, {"error": "out of touch with the core"})
             return
-        news = self.lives.merge(comer, nowMs)
+        news = self.lives.merge(comer, now_ms)
         if news is None:
-            part = partOf(comer.service)
-            self.heardIds.setdefault(part, {})[comer.id] = comer.callSeq
-            known = self.lives.byId[comer.id]
+            part = part_of(comer.service)
+            self.heard_ids.setdefault(part, {})[comer.id] = comer.call_seq
+            known = self.lives.by_id[comer.id]
             if known.state == READY or comer.state == READY:
-                answer(200, self.beatAnswer(comer))
+                answer(200, self.beat_answer(comer))
                 return
             news = known
         self.spread([news], None if news.state == READY else answer)
         if news.state == READY:
-            answer(200, self.beatAnswer(comer))
+            answer(200, self.beat_answer(comer))
 
-    def beatAnswer(self, life):
+    def beat_answer(self, life):
         """Names a registry of the endpoint's own area for later beats, where this one is of another."""
         if life.area == self.membership.me.area or "control" not in self.context.settings.listen:
             return {}
@@ -238,19 +238,19 @@
 
     def spread(self, news, answer):
         """Brings news to the group of its part and on to the proxies; `answer` waits for the group's majority."""
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         self.feed(news)
-        byPart = {}
+        by_part = {}
         for life in news:
-            byPart.setdefault(partOf(life.service), []).append(life)
-        for part, lives in byPart.items():
-            group = self.groupOf(part)
+            by_part.setdefault(part_of(life.service), []).append(life)
+        for part, lives in by_part.items():
+            group = self.group_of(part)
             others = [address for address in group if address != self.board.address]
-            rows = [life.fields(nowMs) for life in lives]
+            rows = [life.fields(now_ms) for life in lives]
             held = Round((0, ""), group)
             if self.board.address in group:
                 held.count(self.board.address, True, (0, ""))
-                self.passOn(part, lives)
+                self.pass_on(part, lives)
             if answer is None:
                 for address in others:
                     self.board.cast(address, wire.LIVES, [rows, 0])
@@ -267,51 +267,51 @@
                     held.over = True
                     answer(503, {"error": "the part's group can't be reached"})
             for address in others:
-                self.board.call(address, wire.LIVES, [rows, 0], self.intervalMs * 0.7,
+                self.board.call(address, wire.LIVES, [rows, 0], self.interval_ms * 0.7,
                                 lambda reply, problem, peer=address: answered(peer, reply, problem))
 
-    def passOn(self, part, lives):
+    def pass_on(self, part, lives):
         """A member of a part's group passes news to the registries of its region, and the owner to the rest."""
-        nowMs = self.context.nowMs()
-        group = self.groupOf(part)
-        regions = {self.regionOf(address) for address in group if self.membership.reachable(address)}
+        now_ms = self.context.now_ms()
+        group = self.group_of(part)
+        regions = {self.region_of(address) for address in group if self.membership.reachable(address)}
         mine = self.membership.me.region
-        rows = [life.fields(nowMs) for life in lives]
+        rows = [life.fields(now_ms) for life in lives]
         for member in self.registries():
             if member.address in group or member.address == self.board.address:
                 continue
             if member.region == mine or (member.region not in regions and self.owns(part)):
                 self.board.cast(member.address, wire.LIVES, [rows, 1])
 
-    def onLives(self, peer, body, reply):
-        rows, passedOn = body
-        nowMs = self.context.nowMs()
-        byPart = {}
+    def on_lives(self, peer, body, reply):
+        rows, passed_on = body
+        now_ms = self.context.now_ms()
+        by_part = {}
         news = []
         for row in rows:
-            after = self.lives.merge(lifeFromFields(row, nowMs), nowMs)
+            after = self.lives.merge(life_from_fields(row, now_ms), now_ms)
             if after is not None:
                 news.append(after)
-                byPart.setdefault(partOf(after.service), []).append(after)
+                by_part.setdefault(part_of(after.service), []).append(after)
         if news:
             self.feed(news)
-            if not passedOn:
-                for part, lives in byPart.items():
-                    if self.board.address in self.groupOf(part):
-                        self.passOn(part, lives)
+            if not passed_on:
+                for part, lives in by_part.items():
+                    if self.board.address in self.group_of(part):
+                        self.pass_on(part, lives)
         if reply is not None:
             reply(1)
 
-    def onHeard(self, peer, body, reply):
+    def on_heard(self, peer, body, reply):
         """Which unchanged lives another registry has heard."""
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         back = []
-        for key, callSeq in HEARD_ROW.iter_unpack(body):
-            known = self.lives.byKey.get(key)
+        for key, call_seq in HEARD_ROW.iter_unpack(body):
+            known = self.lives.by_key.get(key)
             if known is None:
                 continue
-            comer = Life(known.id, known.service, known.address, known.area, known.slots, READY, callSeq, 0, 0, 0, nowMs)
-            after = self.lives.merge(comer, nowMs)
+            comer = Life(known.id, known.service, known.address, known.area, known.slots, READY, call_seq, 0, 0, 0, now_ms)
+            after = self.lives.merge(comer, now_ms)
             if after is not None:
                 back.append(after)
         if back:
@@ -325,18 +325,18 @@
         for life in news:
             self.unfed[life.id] = life
         if any(life.state != READY or not life.sound for life in news):
-            self.feedNow()
+            self.feed_now()
         elif not self.feeding:
             self.feeding = True
-            self.context.after(self.intervalMs * FEED_SHARE, self.feedNow)
+            self.context.after(self.interval_ms * FEED_SHARE, self.feed_now)
 
-    def feedNow(self):
+    def feed_now(self):
         self.feeding = False
         news, self.unfed = self.unfed, {}
         if not news:
             return
-        nowMs = self.context.nowMs()
-        rows = wire.packRows([self.lives.byId.get(id, life).fields(nowMs) for id, life in news.items()])
+        now_ms = self.context.now_ms()
+        rows = wire.pack_rows([self.lives.by_id.get(id, life).fields(now_ms) for id, life in news.items()])
         for subscriber in self.subscribers.values():
             if not subscriber.waiting:
                 self.board.cast(subscriber.address, wire.FEED, [0, b"", rows])
@@ -345,13 +345,13 @@
 
     def owns(self, part):
         """True where this registry won the duty for a part and the part is still placed on it."""
-        return self.owners.get(part, (None, 0))[0] == self.board.address and self.board.address in self.groupOf(part)
+        return self.owners.get(part, (None, 0))[0] == self.board.address and self.board.address in self.group_of(part)
 
     def canvass(self):
         """Runs for the parts of whose group this registry is the first that may, where the duty is vacant."""
         vacant = []
         for part in PARTS:
-            group = self.groupOf(part)
+            group = self.group_of(part)
             if self.board.address not in group or self.stopping:
                 continue
             owner = self.owners.get(part, (None, 0))[0]
@@ -363,9 +363,9 @@
             if able and able[0] == self.board.address:
                 vacant.append(part)
         for part in vacant:
-            group = self.groupOf(part)
-            self.roundNo = max(self.roundNo, self.voter.promised.get(part, (0, ""))[0]) + 1
-            ballot = (self.roundNo, f"{self.board.address}#{self.life}")
+            group = self.group_of(part)
+            self.round_no = max(self.round_no, self.voter.promised.get(part, (0, ""))[0]) + 1
+            ballot = (self.round_no, f"{self.board.address}#{self.life}")
             running = Round(ballot, group)
 
             def answered(peer, answer, problem, running=running, part=part, ballot=ballot):
@@ -374,8 +374,8 @@
                 if problem is not None or answer is None:
                     running.count(peer, False, (0, ""))
                 else:
-                    running.count(peer, answer[0], asBallot(answer[1]))
-                    self.roundNo = max(self.roundNo, answer[1][0])
+                    running.count(peer, answer[0], as_ballot(answer[1]))
+                    self.round_no = max(self.round_no, answer[1][0])
                 if running.won():
                     running.over = True
                     self.owners[part] = (self.board.address, ballot)
@@ -383,19 +383,19 @@
                 elif running.lost():
                     running.over = True
             for address in group:
-                self.board.call(address, wire.CANVASS, [part, list(ballot)], self.intervalMs * 0.6,
+                self.board.call(address, wire.CANVASS, [part, list(ballot)], self.interval_ms * 0.6,
                                 lambda answer, problem, peer=address, answered=answered: answered(peer, answer, problem))
 
     def live(self, address):
-        return (self.context.nowMs() - self.pingHeardMs.get(address, -1e12)
-                < self.intervalMs * (1.5 if self.near(address) else 2.3))
+        return (self.context.now_ms() - self.ping_heard_ms.get(address, -1e12)
+                < self.interval_ms * (1.5 if self.near(address) else 2.3))
 
     def near(self, address):
         """True for a registry of the own region; others ping half as often, since bytes between regions are dear."""
-        return self.regionOf(address) == self.membership.me.region
+        return self.region_of(address) == self.membership.me.region
 
-    def onCanvass(self, peer, body, reply):
-        part, ballot = body[0], asBallot(body[1])
+    def on_canvass(self, peer, body, reply):
+        part, ballot = body[0], as_ballot(body[1])
         promised, highest = self.voter.canvass(part, ballot)
         if promised:
             self.owners[part] = (ballot[1].partition("#")[0], ballot)
@@ -403,26 +403,26 @@
 
     def judge(self):
         """The owner of a part declares lives unsound that no registry has heard for some beats."""
-        nowMs = self.context.nowMs()
-        if not self.inContact() or nowMs - self.startedMs < self.context.settings.beatMs * 4:
+        now_ms = self.context.now_ms()
+        if not self.in_contact() or now_ms - self.started_ms < self.context.settings.beat_ms * 4:
             return
-        limitMs = self.context.settings.beatMs * UNHEARD_BEATS
+        limit_ms = self.context.settings.beat_ms * UNHEARD_BEATS
         unheard = []
         for part in PARTS:
             if not self.owns(part):
                 continue
             for life in list(self.lives.parts.get(part, {}).values()):
-                if life.state == GONE or not life.sound or nowMs - life.heardMs < limitMs:
+                if life.state == GONE or not life.sound or now_ms - life.heard_ms < limit_ms:
                     continue
                 unheard.append(Life(life.id, life.service, life.address, life.area, life.slots, life.state,
-                                    life.callSeq, life.callSeq, life.coldSeq, life.coldMs, life.heardMs,
+                                    life.call_seq, life.call_seq, life.cold_seq, life.cold_ms, life.heard_ms,
                                     life.software))
         news = []
         for life in unheard:
-            known = self.lives.byId[life.id]
-            heardMs = known.heardMs
-            after = self.lives.merge(life, nowMs)
-            self.lives.byId[life.id].heardMs = heardMs
+            known = self.lives.by_id[life.id]
+            heard_ms = known.heard_ms
+            after = self.lives.merge(life, now_ms)
+            self.lives.by_id[life.id].heard_ms = heard_ms
             if after is not None:
                 news.append(after)
                 self.context.log.info("registry: %s of %s is unheard.", life.id, life.service)
@@ -432,160 +432,160 @@
     # rounds
 
     def tick(self):
-        self.context.after(self.intervalMs * 0.5 * self.context.random.uniform(0.95, 1.05), self.tick)
-        nowMs = self.context.nowMs()
+        self.context.after(self.interval_ms * 0.5 * self.context.random.uniform(0.95, 1.05), self.tick)
+        now_ms = self.context.now_ms()
         self.rounds += 1
         settings = self.context.settings
-        self.lives.forget(nowMs - settings.bounds.contactMs * 10, nowMs - settings.bounds.contactMs * 60)
+        self.lives.forget(now_ms - settings.bounds.contact_ms * 10, now_ms - settings.bounds.contact_ms * 60)
         serial = self.value.serial if self.value else -1
-        ping = [serial, [self.lives.markOfAll()], self.attachedMark(self.myAttached())]
-        if self.trueTime is not None:
-            ping.append(int(self.context.wallMs()))
+        ping = [serial, [self.lives.mark_of_all()], self.attached_mark(self.my_attached())]
+        if self.true_time is not None:
+            ping.append(int(self.context.wall_ms()))
         for member in self.registries():
             if member.address != self.board.address and (self.rounds % 2 or member.region == self.membership.me.region):
                 self.board.cast(member.address, wire.PING, ping)
         if self.rounds % 2:
-            self.tellHeard()
+            self.tell_heard()
             self.canvass()
-            self.moveParts()
+            self.move_parts()
             self.keep()
         self.judge()
-        contact = self.inContact() or self.young()
+        contact = self.in_contact() or self.young()
         for subscriber in list(self.subscribers.values()):
-            if nowMs - subscriber.heardMs > self.intervalMs * 2.2:
+            if now_ms - subscriber.heard_ms > self.interval_ms * 2.2:
                 self.drop(subscriber.address)
                 continue
-            self.board.cast(subscriber.address, wire.FEED_PING, self.feedPing(serial, contact))
+            self.board.cast(subscriber.address, wire.FEED_PING, self.feed_ping(serial, contact))
 
-    def feedPing(self, serial, contact):
+    def feed_ping(self, serial, contact):
         """What a feeder says each round: its epoch, whether it is in touch, and, where duties want it, the agreed time."""
-        trueMs = self.trueTime.now() if self.trueTime is not None else None
-        return [serial, 1 if contact else 0] + ([int(trueMs)] if trueMs is not None else [])
+        true_ms = self.true_time.now() if self.true_time is not None else None
+        return [serial, 1 if contact else 0] + ([int(true_ms)] if true_ms is not None else [])
 
-    def onUsage(self, peer, body, reply):
+    def on_usage(self, peer, body, reply):
         if self.ledger is not None:
             self.ledger.take(peer, body)
 
-    def tellHeard(self):
+    def tell_heard(self):
         """Tells the groups which unchanged lives were heard here since the last time."""
-        toldTo = {}
-        for part, ids in self.heardIds.items():
-            for address in self.groupOf(part):
+        told_to = {}
+        for part, ids in self.heard_ids.items():
+            for address in self.group_of(part):
                 if address != self.board.address:
-                    toldTo.setdefault(address, []).extend(
+                    told_to.setdefault(address, []).extend(
                         HEARD_ROW.pack(zlib.crc32(id.encode()), seq & 0xFFFFFFFF) for id, seq in ids.items())
-        for address, heard in toldTo.items():
+        for address, heard in told_to.items():
             self.board.cast(address, wire.HEARD, b"".join(heard))
-        self.heardIds = {}
-
-    def onPing(self, peer, body, reply):
-        serial, marks, attachedMark, *clock = body
-        nowMs = self.context.nowMs()
-        if clock and self.trueTime is not None:
-            self.trueTime.heard(peer, clock[0])
-        self.pingHeardMs[peer] = nowMs
+        self.heard_ids = {}
+
+    def on_ping(self, peer, body, reply):
+        serial, marks, attached_mark, *clock = body
+        now_ms = self.context.now_ms()
+        if clock and self.true_time is not None:
+            self.true_time.heard(peer, clock[0])
+        self.ping_heard_ms[peer] = now_ms
         if serial > (self.value.serial if self.value else -1):
-            self.board.call(peer, wire.READ_VALUE, [], self.intervalMs, self.gotValue)
-        if attachedMark != self.attachedMark(self.attached.get(peer, ())):
-            self.board.call(peer, wire.ATTACHED_WANTED, [], self.intervalMs,
+            self.board.call(peer, wire.READ_VALUE, [], self.interval_ms, self.got_value)
+        if attached_mark != self.attached_mark(self.attached.get(peer, ())):
+            self.board.call(peer, wire.ATTACHED_WANTED, [], self.interval_ms,
                             lambda answer, problem: problem is None and answer is not None
-                            and self.gotAttached(peer, answer))
+                            and self.got_attached(peer, answer))
         if len(marks) == 1:
             member = self.membership.state.members.get(peer)
             near = member is not None and member.region == self.membership.me.region
-            if marks[0] != self.lives.markOfAll() and (near or self.context.random.random() < 0.3):
+            if marks[0] != self.lives.mark_of_all() and (near or self.context.random.random() < 0.3):
                 self.board.cast(peer, wire.PING, [serial if self.value is None else self.value.serial,
                                                   [self.lives.mark(part) for part in PARTS],
-                                                  self.attachedMark(self.myAttached())])
+                                                  self.attached_mark(self.my_attached())])
             return
         wanted = [number for number, part in enumerate(PARTS)
                   if number < len(marks) and marks[number] != self.lives.mark(part)]
         if wanted:
-            rows = [row for number in wanted for row in self.lives.rows(PARTS[number], nowMs)]
-            self.board.call(peer, wire.PART_WANTED, [wanted, rows], self.intervalMs,
+            rows = [row for number in wanted for row in self.lives.rows(PARTS[number], now_ms)]
+            self.board.call(peer, wire.PART_WANTED, [wanted, rows], self.interval_ms,
                             lambda answer, problem: problem is None and answer is not None
-                            and self.onLives(peer, [answer, 1], None))
+                            and self.on_lives(peer, [answer, 1], None))
 
-    def onPartWanted(self, peer, body, reply):
+    def on_part_wanted(self, peer, body, reply):
         """Repair: takes what the other keeps of some parts and hands over what is kept here."""
         wanted, rows = body
-        nowMs = self.context.nowMs()
-        self.onLives(peer, [rows, 1], None)
-        reply([row for number in wanted for row in self.lives.rows(PARTS[number], nowMs)])
+        now_ms = self.context.now_ms()
+        self.on_lives(peer, [rows, 1], None)
+        reply([row for number in wanted for row in self.lives.rows(PARTS[number], now_ms)])
 
-    def placementChanged(self):
-        self.context.soon(self.moveParts)
+    def placement_changed(self):
+        self.context.soon(self.move_parts)
 
-    def moveParts(self):
+    def move_parts(self):
         """Hands over the parts that pending moves take from this registry."""
         for move in self.membership.state.moves:
-            if move.giver != self.board.address or move.status != AWAITING or move.key() in self.movesRunning:
+            if move.giver != self.board.address or move.status != AWAITING or move.key() in self.moves_running:
                 continue
-            self.movesRunning.add(move.key())
+            self.moves_running.add(move.key())
 
             def ready(answer, problem, move=move):
-                self.movesRunning.discard(move.key())
+                self.moves_running.discard(move.key())
                 if problem is None and answer:
-                    self.membership.completeMove(move)
-            self.board.call(move.taker, wire.HANDOFF, [move.part, self.lives.rows(move.part, self.context.nowMs())],
-                            self.intervalMs, ready)
+                    self.membership.complete_move(move)
+            self.board.call(move.taker, wire.HANDOFF, [move.part, self.lives.rows(move.part, self.context.now_ms())],
+                            self.interval_ms, ready)
         if self.stopping:
             mine = any(self.board.address in group for part, group in self.membership.state.table.items()
                        if part in PARTS)
             if not mine:
                 self.membership.exit()
 
-    def onHandoff(self, peer, body, reply):
+    def on_handoff(self, peer, body, reply):
         part, rows = body
-        self.onLives(peer, [rows, 1], None)
+        self.on_lives(peer, [rows, 1], None)
         reply(1)
 
     # the configuration
 
-    def onChosen(self, peer, body, reply):
+    def on_chosen(self, peer, body, reply):
         packed, others = body
         for address in others:
             if address != self.board.address:
                 self.board.cast(address, wire.CHOSEN, [packed, []])
-        self.takeValue(readValue(packed))
+        self.take_value(read_value(packed))
         self.confirmed()
 
-    def takeValue(self, value):
+    def take_value(self, value):
         if self.value is not None and value.serial <= self.value.serial:
             return
         self.value = value
-        self.partners = tableOf(value) if value.offers else NO_TABLE
+        self.partners = table_of(value) if value.offers else NO_TABLE
         self.membership.epoch = value.serial
         if value.sessions:
             if self.sessions is None:
                 from stagevale.affinity.keeping import SessionKeeper
-                self.sessions = SessionKeeper(self.context, self.board, self.openLog())
+                self.sessions = SessionKeeper(self.context, self.board, self.open_log())
             self.sessions.configure(value.sessions)
         for subscriber in self.subscribers.values():
-            self.feedValue(subscriber)
+            self.feed_value(subscriber)
 
-    def feedValue(self, subscriber):
+    def feed_value(self, subscriber):
         if self.value is not None and subscriber.serial < self.value.serial and not subscriber.waiting:
             subscriber.serial = self.value.serial
             self.board.cast(subscriber.address, wire.FEED, [1, self.value.packed, b""])
 
-    def onBeacon(self, peer, body, reply):
+    def on_beacon(self, peer, body, reply):
         serial = body[1]
         if self.value is not None and serial <= self.value.serial:
             self.confirmed()
         else:
-            self.pullValue()
+            self.pull_value()
 
     def confirmed(self):
         """The value held here is the newest that a majority knows: proxies that waited for that are fed."""
-        self.valueHeardMs = self.context.nowMs()
+        self.value_heard_ms = self.context.now_ms()
         for subscriber in list(self.subscribers.values()):
             if subscriber.waiting:
                 self.welcome(subscriber, True)
 
-    def epochHeard(self, sender, epoch):
+    def epoch_heard(self, sender, epoch):
         if self.value is None or epoch > self.value.serial:
-            self.pullValue()
+            self.pull_value()
 
     def stores(self):
         """Stores to ask: the one beside this registry first, then those of members, then the seeds' ones."""
@@ -596,7 +596,7 @@
         addresses += [f"{ip}:{self.ports[0] + 1}" for ip in self.context.settings.seeds]
         return list(dict.fromkeys(addresses))
 
-    def pullValue(self, then=None):
+    def pull_value(self, then=None):
         """Reads the value from the stores, confirmed by a majority."""
         if self.pulling and then is None:
             return
@@ -605,28 +605,28 @@
         def answered(answer, problem):
             self.pulling = False
             if problem is None and answer and answer[0] == 200:
-                self.takeValue(readValue(answer[1]))
+                self.take_value(read_value(answer[1]))
                 self.confirmed()
                 if then is not None:
                     then(True)
             elif then is not None:
                 then(False)
-        self.askStores(wire.READ_VALUE, [False], answered, self.stores()[:3], self.intervalMs * 0.9)
+        self.ask_stores(wire.READ_VALUE, [False], answered, self.stores()[:3], self.interval_ms * 0.9)
 
-    def askStores(self, kind, body, done, addresses, cutoffMs):
+    def ask_stores(self, kind, body, done, addresses, cutoff_ms):
         """Asks one store after the other until one gives a clear answer."""
         def answered(answer, problem):
             if (problem is not None or not answer or answer[0] == 503) and len(addresses) > 1:
-                self.askStores(kind, body, done, addresses[1:], cutoffMs)
+                self.ask_stores(kind, body, done, addresses[1:], cutoff_ms)
             else:
                 done(answer, problem)
-        self.board.call(addresses[0], kind, body, cutoffMs, answered)
+        self.board.call(addresses[0], kind, body, cutoff_ms, answered)
 
-    def showSession(self, session, answer):
+    def show_session(self, session, answer):
         """The record of a session, as a majority of its group has it."""
-        from stagevale.affinity import STATES, Record, groupName, recordFrom
+        from stagevale.affinity import STATES, Record, group_name, record_from
         from stagevale.ballots import majority
-        names = {groupName(name.partition("|")[0].split(",") if name.partition("|")[0] else (), session.encode())
+        names = {group_name(name.partition("|")[0].split(",") if name.partition("|")[0] else (), session.encode())
                  for name in (self.value.sessions if self.value else {})}
         waiting, found, silent = {}, {}, []
         for name in names:
@@ -651,12 +651,12 @@
                 record = Record()
                 for fields in got:
                     if fields is not None:
-                        record.join(recordFrom(fields, self.context.nowMs()))
+                        record.join(record_from(fields, self.context.now_ms()))
                 if record.number or record.jobs:
                     rows.append({"group": name, "epoch": record.number, "holder": record.holder.partition("#")[0],
                                  "endpoints": record.pins, "jobs": [
                                      {"key": key, "state": STATES[entry.state], "by": entry.by.partition("#")[0],
-                                      "keptForS": int((entry.expiresMs - self.context.nowMs()) / 1000)}
+                                      "keptForS": int((entry.expires_ms - self.context.now_ms()) / 1000)}
                                      for key, entry in sorted(record.jobs.items())]})
             if silent:
                 answer(503, {"error": f"no majority of the groups {', '.join(silent)} answers"})
@@ -667,18 +667,18 @@
         for name, peers in list(waiting.items()):
             for peer in list(peers):
                 self.board.call(peer, wire.SESSION_LOOK, [name, self.value.sessions[name][0], session],
-                                self.intervalMs, lambda reply, problem, name=name, peer=peer:
+                                self.interval_ms, lambda reply, problem, name=name, peer=peer:
                                 heard(name, peer, reply, problem))
 
-    def onClaimWanted(self, peer, body, reply):
+    def on_claim_wanted(self, peer, body, reply):
         """A proxy asks whether its table is the newest: one question to the register serves all that asked before it."""
-        askNo, *told = body
-        self.claimants.append((peer, askNo))
+        ask_no, *told = body
+        self.claimants.append((peer, ask_no))
         if told:
             self.outcomes[peer] = [peer, *told]
-        self.askNewest()
+        self.ask_newest()
 
-    def askNewest(self):
+    def ask_newest(self):
         if self.confirming or not self.claimants:
             return
         asking, self.claimants = self.claimants, []
@@ -689,22 +689,22 @@
             self.confirming = False
             if problem is None and answer and answer[0] == 200:
                 newest = int(answer[1])
-                for proxy, askNo in asking:
-                    self.board.cast(proxy, wire.CLAIM, [askNo, newest])
+                for proxy, ask_no in asking:
+                    self.board.cast(proxy, wire.CLAIM, [ask_no, newest])
                 if self.value is None or newest > self.value.serial:
-                    self.pullValue()
-            self.askNewest()
+                    self.pull_value()
+            self.ask_newest()
         payload = json.dumps(outcomes, separators=(",", ":")) if outcomes else ""
-        self.askStores(wire.ORDER, ["serial", payload, False], answered, self.stores()[:2], self.intervalMs * 0.5)
+        self.ask_stores(wire.ORDER, ["serial", payload, False], answered, self.stores()[:2], self.interval_ms * 0.5)
 
-    def startRollout(self, service, text, answer):
+    def start_rollout(self, service, text, answer):
         """An operator's rollout, passed on once endpoints of both versions are known."""
         from stagevale.rollouts.checking import read_rollout
         checked = read_rollout(text)
         if checked.is_error():
             answer(checked.error.status, checked.error.reason)
             return
-        software = self.softwareOf(service)
+        software = self.software_of(service)
         for field in ("from", "to"):
             if software and checked.ok[field] not in software:
                 answer(400, f"{field}: no endpoint of {service} runs {checked.ok[field]}; known are "
@@ -712,16 +712,16 @@
                 return
         self.order("startRollout", f"{service}\n{text}", answer)
 
-    def softwareOf(self, service):
+    def software_of(self, service):
         """Healthy endpoints and their slots by software version."""
         found = {}
-        for life in self.lives.parts.get(partOf(service), {}).values():
+        for life in self.lives.parts.get(part_of(service), {}).values():
             if life.service == service and life.state == READY and life.sound:
                 endpoints, slots = found.get(life.software, (0, 0))
                 found[life.software] = endpoints + 1, slots + life.slots
         return found
 
-    def showRollouts(self, service, answer):
+    def show_rollouts(self, service, answer):
         """All rollouts, or one, as the owner of the register confirms them; with warnings before they hurt."""
         def shown(status, text):
             if status != 200:
@@ -732,40 +732,40 @@
                 answer(404, {"error": f"no rollout of {service}"})
                 return
             for row in rows:
-                software = self.softwareOf(row["service"])
+                software = self.software_of(row["service"])
                 row["endpoints"] = {name: {"endpoints": count, "slots": slots}
                                     for name, (count, slots) in sorted(software.items())}
-                row["warnings"] = self.rolloutWarnings(row, software)
+                row["warnings"] = self.rollout_warnings(row, software)
             answer(200, rows[0] if service else {"rollouts": rows})
         self.order("readRollouts", "", shown)
 
-    def rolloutWarnings(self, row, software):
+    def rollout_warnings(self, row, software):
         """What would hurt at a fallback: too few endpoints of the stable version to carry what the new one carries."""
-        allSlots = sum(slots for _, slots in software.values())
-        stableSlots = sum(slots for name, (_, slots) in software.items()
+        all_slots = sum(slots for _, slots in software.values())
+        stable_slots = sum(slots for name, (_, slots) in software.items()
                           if name != row["to"] and name not in row["withheld"])
         warnings = []
-        if stableSlots == 0:
+        if stable_slots == 0:
             warnings.append(f"no healthy endpoint runs {row['from']}: after a fallback requests are refused with 503")
-        elif stableSlots * 2 < allSlots:
-            warnings.append(f"{row['from']} has {stableSlots} of {allSlots} slots: a fallback would crowd them")
+        elif stable_slots * 2 < all_slots:
+            warnings.append(f"{row['from']} has {stable_slots} of {all_slots} slots: a fallback would crowd them")
         if row["to"] not in software:
             warnings.append(f"no healthy endpoint runs {row['to']}: its share goes to {row['from']}")
         return warnings
 
-    def partnerTable(self, answer):
+    def partner_table(self, answer):
         """The merged table, after a majority has confirmed that it is the newest; 503 where none does."""
         def confirmed(status, text):
             if status != 200:
                 answer(503, {"error": f"no majority of the stores confirms the table: {text}"})
             elif self.value is None or int(text) > self.value.serial:
-                self.pullValue(lambda read: self.showTable(answer) if read
+                self.pull_value(lambda read: self.show_table(answer) if read
                                else answer(503, {"error": "the newest table can't be read"}))
             else:
-                self.showTable(answer)
+                self.show_table(answer)
         self.order("serial", "", confirmed)
 
-    def showTable(self, answer):
+    def show_table(self, answer):
         answer(200, {"serial": self.value.serial, "mark": self.partners.mark, "registry": self.board.address,
                      "rows": [row.fields() for row in self.partners.rows],
                      "proxies": [{"address": s.address, "serial": s.table[0] if s.table else None,
@@ -797,13 +797,13 @@
                          "weighed": [{**each.fields(), "against": against} for each, against in words],
                          "won": f"own route {own[0].get('name') or own[0]['pathPrefix']}" if own
                          else f"partner {row.partner}, {row.prefix}" if row else ""})
-        self.partnerTable(shown)
+        self.partner_table(shown)
 
-    def gotValue(self, answer, problem):
+    def got_value(self, answer, problem):
         if problem is None and answer:
-            self.takeValue(readValue(answer))
+            self.take_value(read_value(answer))
 
-    def onValueWanted(self, peer, body, reply):
+    def on_value_wanted(self, peer, body, reply):
         reply(self.value.packed if self.value else b"")
 
     def order(self, order, payload, answer):
@@ -815,36 +815,36 @@
                 answer(reply[0], reply[1])
             else:
                 answer(503, f"no store answers: {problem}")
-        self.askStores(wire.ORDER, [order, payload, False], answered, self.stores()[:3],
-                       self.context.settings.bounds.ackDeadlineMs * 0.23)
+        self.ask_stores(wire.ORDER, [order, payload, False], answered, self.stores()[:3],
+                       self.context.settings.bounds.ack_deadline_ms * 0.23)
 
     # proxies
 
-    def onSubscribe(self, peer, body, reply):
+    def on_subscribe(self, peer, body, reply):
         front, area, region, ready, serial, report, *table = body
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         known = self.subscribers.get(peer)
         fresh = known is None or serial < 0
         changed = known is None or known.ready != ready
         if known is not None and report:
             known.report = report
         if known is not None and not fresh:
-            known.heardMs, known.ready, known.table = nowMs, ready, table
+            known.heard_ms, known.ready, known.table = now_ms, ready, table
             if changed:
                 self.announce(peer)
             if reply is not None:
                 reply(1)
             return
-        subscriber = Subscriber(peer, front, area, region, ready, serial, nowMs)
+        subscriber = Subscriber(peer, front, area, region, ready, serial, now_ms)
         subscriber.report = known.report if known is not None else report
         self.subscribers[peer] = subscriber
         if changed:
             self.announce(peer)
         if reply is not None:
             reply(1)
-        if serial < 0 and nowMs - self.valueHeardMs > self.intervalMs * 1.5:
+        if serial < 0 and now_ms - self.value_heard_ms > self.interval_ms * 1.5:
             subscriber.waiting = True
-            self.pullValue(lambda read: self.welcome(subscriber, read) if read or serial != -1 else None)
+            self.pull_value(lambda read: self.welcome(subscriber, read) if read or serial != -1 else None)
         else:
             self.welcome(subscriber, True)
 
@@ -854,30 +854,30 @@
             return
         subscriber.welcomed = True
         subscriber.waiting = False
-        nowMs = self.context.nowMs()
-        rows = wire.packRows([row for part in PARTS for row in self.lives.rows(part, nowMs)])
+        now_ms = self.context.now_ms()
+        rows = wire.pack_rows([row for part in PARTS for row in self.lives.rows(part, now_ms)])
         if read and self.value is not None and subscriber.serial < self.value.serial:
             subscriber.serial = self.value.serial
             self.board.cast(subscriber.address, wire.FEED, [1, self.value.packed, rows])
         else:
             self.board.cast(subscriber.address, wire.FEED, [0, b"", rows])
 
-    def myAttached(self):
+    def my_attached(self):
         """The proxies that this registry feeds, as the directory wants them."""
         return sorted([subscriber.address, subscriber.front, subscriber.area, subscriber.region, bool(subscriber.ready)]
                       for subscriber in self.subscribers.values())
 
-    def attachedMark(self, rows):
+    def attached_mark(self, rows):
         return zlib.crc32(repr([list(row) for row in rows]).encode())
 
     def announce(self, proxy):
         """Tells the other registries that one proxy is fed here, is ready, or isn't; pings repair what gets lost."""
-        news = [row for row in self.myAttached() if row[0] == proxy] or [[proxy]]
+        news = [row for row in self.my_attached() if row[0] == proxy] or [[proxy]]
         for member in self.registries():
             if member.address != self.board.address:
                 self.board.cast(member.address, wire.ATTACHED, news)
 
-    def onAttached(self, peer, body, reply):
+    def on_attached(self, peer, body, reply):
         """News of one proxy that another registry feeds: its row, or its address alone where it is fed there no more."""
         rows = {row[0]: row for row in self.attached.get(peer, ())}
         for proxy, *rest in body:
@@ -887,14 +887,14 @@
                 rows[proxy] = [proxy, front, area, region, bool(ready)]
         self.attached[peer] = sorted(rows.values())
 
-    def gotAttached(self, peer, rows):
+    def got_attached(self, peer, rows):
         """All proxies that another registry feeds."""
         self.attached[peer] = [[proxy, front, area, region, bool(ready)] for proxy, front, area, region, ready in rows]
 
-    def onAttachedWanted(self, peer, body, reply):
-        reply(self.myAttached())
+    def on_attached_wanted(self, peer, body, reply):
+        reply(self.my_attached())
 
-    def onUnsubscribe(self, peer, body, reply):
+    def on_unsubscribe(self, peer, body, reply):
         self.drop(peer)
         if reply is not None:
             reply(1)
@@ -903,29 +903,29 @@
         if self.subscribers.pop(proxy, None) is not None:
             self.announce(proxy)
 
-    def streamLost(self, peer):
+    def stream_lost(self, peer):
         if peer in self.subscribers:
             self.drop(peer)
 
-    def onPull(self, peer, body, reply):
+    def on_pull(self, peer, body, reply):
         subscriber = self.subscribers.get(peer)
         if subscriber is not None:
             subscriber.serial = body[0]
-            self.feedValue(subscriber)
+            self.feed_value(subscriber)
 
     def resolve(self, area, region):
         """The fronts for a client of this area: ready, near ones first."""
-        lists = [self.myAttached()] + [rows for registry, rows in self.attached.items() if self.live(registry)]
-        ready = {(front, itsArea, itsRegion) for rows in lists for _, front, itsArea, itsRegion, isReady in rows
-                 if isReady and front}
-        return frontsFor(area, region or self.context.settings.areas.get(area, ""), ready)
+        lists = [self.my_attached()] + [rows for registry, rows in self.attached.items() if self.live(registry)]
+        ready = {(front, its_area, its_region) for rows in lists for _, front, its_area, its_region, is_ready in rows
+                 if is_ready and front}
+        return fronts_for(area, region or self.context.settings.areas.get(area, ""), ready)
 
     def stand(self):
         """What this registry knows, for the tools: members, parts, endpoints, proxies and where jobs went."""
-        nowMs = self.context.nowMs()
+        now_ms = self.context.now_ms()
         membership = self.membership
         return {
-            "registry": self.board.address, "inContact": self.inContact(), "converged": membership.converged(),
+            "registry": self.board.address, "inContact": self.in_contact(), "converged": membership.converged(),
             "leader": membership.leader() or "",
             "serial": self.value.serial if self.value else -1,
             "version": f"r{self.value.version}" if self.value else "",
@@ -939,12 +939,12 @@
             "members": [{"address": m.address, "program": m.program, "area": m.area, "region": m.region,
                          "state": STATE_NAMES[m.state], "reachable": membership.reachable(m.address)}
                         for m in membership.state.sorted()],
-            "parts": {part: {"group": list(self.groupOf(part)), "owner": self.owners.get(part, ("", 0))[0] or ""}
+            "parts": {part: {"group": list(self.group_of(part)), "owner": self.owners.get(part, ("", 0))[0] or ""}
                       for part in PARTS},
             "endpoints": [{"id": life.id, "service": life.service, "address": life.address, "area": life.area,
                            "slots": life.slots, "state": ("ready", "draining", "gone")[life.state],
-                           "sound": life.sound, "coldLeftMs": max(0, int(life.coldMs - (nowMs - life.heardMs)))}
-                          for life in self.lives.byId.values()],
+                           "sound": life.sound, "coldLeftMs": max(0, int(life.cold_ms - (now_ms - life.heard_ms)))}
+                          for life in self.lives.by_id.values()],
             "proxies": [{"address": s.address, "front": s.front, "area": s.area, "region": s.region,
                          "ready": bool(s.ready), "report": s.report, "table": s.table,
                          "delays": s.report[5] if len(s.report) > 5 else []} for s in self.subscribers.values()],
--- a/stagevale/rehearsing/__init__.py
+++ b/stagevale/rehearsing/__init__.py
@@ -4,7 +4,7 @@
 
 from stagevale.balancing import Chooser, Target
 from stagevale.balancing.digest import Digest, Limits, Route, Service
-from stagevale.placement import frontsFor
+from stagevale.placement import fronts_for
 from stagevale.relaying import SHED_SHARE
 
 PURE, EFFECTFUL = "repeatable", "at most once"
@@ -17,13 +17,13 @@
 class Flow:
     """Jobs of one route that reach one front."""
 
-    __slots__ = ("route", "service", "perS", "workMs", "bytes", "went")
+    __slots__ = ("route", "service", "per_s", "work_ms", "bytes", "went")
 
-    def __init__(self, route, service, perS, workMs, bytes, went):
+    def __init__(self, route, service, per_s, work_ms, bytes, went):
         self.route = route
         self.service = service
-        self.perS = perS
-        self.workMs = workMs
+        self.per_s = per_s
+        self.work_ms = work_ms
         self.bytes = bytes
         self.went = went
 
@@ -31,20 +31,20 @@
 class Tally:
     """What became of the jobs of one route."""
 
-    __slots__ = ("kind", "jobs", "inAim", "late", "shed", "areas", "runs")
+    __slots__ = ("kind", "jobs", "in_aim", "late", "shed", "areas", "runs")
 
     def __init__(self, kind):
         self.kind = kind
-        self.jobs = self.inAim = self.late = self.shed = self.runs = 0
+        self.jobs = self.in_aim = self.late = self.shed = self.runs = 0
         self.areas = {}
 
-    def row(self, regionOf):
+    def row(self, region_of):
         regions = {}
         for area, count in self.areas.items():
-            regions[regionOf.get(area, "?")] = regions.get(regionOf.get(area, "?"), 0) + count
+            regions[region_of.get(area, "?")] = regions.get(region_of.get(area, "?"), 0) + count
         sent = max(1, sum(self.areas.values()))
         jobs = max(1, self.jobs)
-        return {"kind": self.kind, "jobs": self.jobs, "inAim": round(self.inAim / jobs, 3),
+        return {"kind": self.kind, "jobs": self.jobs, "inAim": round(self.in_aim / jobs, 3),
                 "late": round(self.late / jobs, 3), "shed": round(self.shed / jobs, 3),
                 "regions": {region: round(count / sent, 3) for region, count in sorted(regions.items())},
                 "areas": {area: round(count / sent, 3) for area, count in sorted(self.areas.items())},
@@ -54,12 +54,12 @@
 class Plan:
     """The stand of the running system, as the tools read it, made ready for the model."""
 
-    __slots__ = ("regionOf", "endpoints", "fronts", "flows", "speeds", "rttMs", "routes", "services", "evacuated",
+    __slots__ = ("region_of", "endpoints", "fronts", "flows", "speeds", "rtt_ms", "routes", "services", "evacuated",
                  "bounds", "seen")
 
     def __init__(self, stands, config, bounds):
-        self.regionOf = {}
-        self.endpoints, self.fronts, self.flows, self.speeds, self.rttMs = {}, {}, {}, {}, {}
+        self.region_of = {}
+        self.endpoints, self.fronts, self.flows, self.speeds, self.rtt_ms = {}, {}, {}, {}, {}
         self.bounds = bounds
         self.seen = {}
         self.evacuated = frozenset(stands[0]["evacuated"]) if stands else frozenset()
@@ -67,7 +67,7 @@
         self.services = {row["name"]: Service(row) for row in config["services"]}
         speeds = {}
         for stand in stands:
-            self.regionOf.update(stand["areas"])
+            self.region_of.update(stand["areas"])
             for row in stand["endpoints"]:
                 if row["state"] == "ready" and row["sound"]:
                     self.endpoints[row["id"]] = row
@@ -75,17 +75,17 @@
                 self.fronts[row["address"]] = (row["front"], row["area"], row["region"])
                 if not row["report"]:
                     continue
-                spanMs, flows, learned, ways = row["report"][:4]
+                span_ms, flows, learned, ways = row["report"][:4]
                 for id, speed in learned:
                     speeds.setdefault(id, []).append(speed)
-                self.rttMs[row["area"]] = dict(ways)
-                for name, service, pure, workMs, size, went in flows:
+                self.rtt_ms[row["area"]] = dict(ways)
+                for name, service, pure, work_ms, size, went in flows:
                     went = dict(went)
                     went.pop("again", None)
                     jobs = sum(went.values())
                     if name in self.routes and jobs:
                         self.flows.setdefault(row["address"], []).append(
-                            Flow(self.routes[name], service, jobs * 1000.0 / max(1, spanMs), workMs, size, went))
+                            Flow(self.routes[name], service, jobs * 1000.0 / max(1, span_ms), work_ms, size, went))
                         tally = self.seen.setdefault(name, {})
                         for area, count in went.items():
                             tally[area] = tally.get(area, 0) + count
@@ -112,14 +112,14 @@
 class Trial:
     """One job in the model."""
 
-    __slots__ = ("route", "service", "startMs", "tried", "expectedMs", "flow", "front", "runs", "homes", "prefers")
+    __slots__ = ("route", "service", "start_ms", "tried", "expected_ms", "flow", "front", "runs", "homes", "prefers")
 
-    def __init__(self, flow, front, startMs):
+    def __init__(self, flow, front, start_ms):
         self.flow, self.front = flow, front
         self.route, self.service = flow.route, flow.service
         self.homes = (flow.route.homes,) if flow.route.homes else ()
         self.prefers = None
-        self.startMs, self.tried, self.expectedMs, self.runs = startMs, (), None, 0
+        self.start_ms, self.tried, self.expected_ms, self.runs = start_ms, (), None, 0
 
 
 class Front:
@@ -130,27 +130,27 @@
     def __init__(self, plan, address, area, region, proxies, lost, flows, rng):
         self.area, self.region = area, region
         self.chooser = Chooser(Place(area, region, plan.bounds, rng), address)
-        self.chooser.rttMs = dict(plan.rttMs.get(area, {}))
+        self.chooser.rtt_ms = dict(plan.rtt_ms.get(area, {}))
         tables = {}
         for row in plan.endpoints.values():
-            itsRegion = plan.regionOf.get(row["area"], "")
-            if itsRegion == lost:
+            its_region = plan.region_of.get(row["area"], "")
+            if its_region == lost:
                 continue
-            target = Target(row["id"], row["service"], row["address"], row["area"], itsRegion, row["slots"])
+            target = Target(row["id"], row["service"], row["address"], row["area"], its_region, row["slots"])
             target.speed = plan.speeds.get(row["id"], 1.0)
             tables.setdefault(row["service"], []).append(target)
         for flow in flows:
-            self.chooser.work[flow.route.name] = flow.workMs
+            self.chooser.work[flow.route.name] = flow.work_ms
             self.chooser.bytes[flow.route.name] = flow.bytes
-        counted = [(flow.bytes, flow.perS) for flow in flows]
+        counted = [(flow.bytes, flow.per_s) for flow in flows]
         if counted:
-            self.chooser.meanBytes = max(1.0, sum(b * n for b, n in counted) / max(0.001, sum(n for _, n in counted)))
+            self.chooser.mean_bytes = max(1.0, sum(b * n for b, n in counted) / max(0.001, sum(n for _, n in counted)))
         self.digest = Digest(0, {}, plan.services, Limits({}), plan.evacuated,
                              {service: tuple(targets) for service, targets in tables.items()}, proxies)
 
-    def wayMs(self, target):
+    def way_ms(self, target):
         """How long a message takes from here to the endpoint."""
-        return 0.0 if target.region == self.region else self.chooser.rttMs.get(target.region, 0.0) / 2
+        return 0.0 if target.region == self.region else self.chooser.rtt_ms.get(target.region, 0.0) / 2
 
 
 def shifted(plan, lost):
@@ -160,17 +160,17 @@
     ready = {row for row in plan.fronts.values() if row[2] != lost}
     if not ready:
         raise RehearsalProblem(f"without {lost} no front is left")
-    byFront = {row[0]: address for address, row in plan.fronts.items()}
+    by_front = {row[0]: address for address, row in plan.fronts.items()}
     moved = {address: list(flows) for address, flows in plan.flows.items() if plan.fronts[address][2] != lost}
     for address, flows in plan.flows.items():
         _, area, region = plan.fronts[address]
         if region != lost:
             continue
-        takers = frontsFor(area, region, ready)
+        takers = fronts_for(area, region, ready)
         for flow in flows:
             for front in takers:
-                moved.setdefault(byFront[front], []).append(
-                    Flow(flow.route, flow.service, flow.perS / len(takers), flow.workMs, flow.bytes, flow.went))
+                moved.setdefault(by_front[front], []).append(
+                    Flow(flow.route, flow.service, flow.per_s / len(takers), flow.work_ms, flow.bytes, flow.went))
     return moved
 
 
@@ -187,65 +187,65 @@
     tallies = {}
     events, order = [], 0
 
-    def put(atMs, kind, *what):
+    def put(at_ms, kind, *what):
         nonlocal order
         order += 1
-        heapq.heappush(events, (atMs, order, kind, what))
+        heapq.heappush(events, (at_ms, order, kind, what))
 
-    def start(trial, target, nowMs):
+    def start(trial, target, now_ms):
         running[target.id] += 1
-        workMs = trial.flow.workMs * plan.speeds.get(target.id, 1.0) * rng.uniform(0.5, 1.5)
-        put(nowMs + workMs, "done", trial, target)
+        work_ms = trial.flow.work_ms * plan.speeds.get(target.id, 1.0) * rng.uniform(0.5, 1.5)
+        put(now_ms + work_ms, "done", trial, target)
 
-    def offer(trial, nowMs):
+    def offer(trial, now_ms):
         front = fronts[trial.front]
-        target = front.chooser.choose(trial, front.digest, nowMs)
+        target = front.chooser.choose(trial, front.digest, now_ms)
         tally = tallies.setdefault(trial.route.name, Tally(PURE if trial.route.pure else EFFECTFUL))
         if target is None:
-            if nowMs - trial.startMs >= trial.route.targetMs * SHED_SHARE:
+            if now_ms - trial.start_ms >= trial.route.target_ms * SHED_SHARE:
                 tally.jobs += 1
                 tally.shed += 1
             else:
-                put(nowMs + trial.route.targetMs * SHED_SHARE / 4, "offer", trial)
+                put(now_ms + trial.route.target_ms * SHED_SHARE / 4, "offer", trial)
             return
         trial.runs += 1
         tally.runs = max(tally.runs, trial.runs)
         tally.areas[target.area] = tally.areas.get(target.area, 0) + 1
-        target.took(nowMs)
-        put(nowMs + front.wayMs(target), "arrive", trial, target)
+        target.took(now_ms)
+        put(now_ms + front.way_ms(target), "arrive", trial, target)
 
     for address, rows in sorted(flows.items()):
         for flow in rows:
-            if address in fronts and flow.perS > 0:
-                put(rng.expovariate(flow.perS) * 1000.0, "job", flow, address)
-    endMs = seconds * 1000.0
+            if address in fronts and flow.per_s > 0:
+                put(rng.expovariate(flow.per_s) * 1000.0, "job", flow, address)
+    end_ms = seconds * 1000.0
     while events:
-        nowMs, _, kind, what = heapq.heappop(events)
+        now_ms, _, kind, what = heapq.heappop(events)
         if kind == "job":
             flow, address = what
-            if nowMs < endMs:
-                offer(Trial(flow, address, nowMs), nowMs)
-                put(nowMs + rng.expovariate(flow.perS) * 1000.0, "job", flow, address)
+            if now_ms < end_ms:
+                offer(Trial(flow, address, now_ms), now_ms)
+                put(now_ms + rng.expovariate(flow.per_s) * 1000.0, "job", flow, address)
         elif kind == "offer":
-            offer(what[0], nowMs)
+            offer(what[0], now_ms)
         elif kind == "arrive":
             trial, target = what
             if running[target.id] < target.slots:
-                start(trial, target, nowMs)
+                start(trial, target, now_ms)
             else:
                 queues[target.id].append((trial, target))
         else:
             trial, target = what
             running[target.id] -= 1
-            target.gave(nowMs)
-            target.told(running[target.id], len(queues[target.id]), nowMs)
+            target.gave(now_ms)
+            target.told(running[target.id], len(queues[target.id]), now_ms)
             if queues[target.id]:
-                start(*queues[target.id].pop(0), nowMs)
+                start(*queues[target.id].pop(0), now_ms)
             front = fronts[trial.front]
             tally = tallies[trial.route.name]
             tally.jobs += 1
-            if nowMs + front.wayMs(target) - trial.startMs <= trial.route.targetMs:
-                tally.inAim += 1
+            if now_ms + front.way_ms(target) - trial.start_ms <= trial.route.target_ms:
+                tally.in_aim += 1
             else:
                 tally.late += 1
     return tallies
@@ -253,7 +253,7 @@
 
 def report(plan, lost, seconds, seed):
     """The rehearsal as a table: for each kind and route where jobs go now, in the model, and without the region."""
-    regions = set(plan.regionOf.values())
+    regions = set(plan.region_of.values())
     if lost not in regions:
         raise RehearsalProblem(f"no region {lost}; there are {', '.join(sorted(regions))}")
     calm, after = rehearse(plan, "", seconds, seed), rehearse(plan, lost, seconds, seed)
@@ -263,10 +263,10 @@
         seen.areas = plan.seen.get(name, {})
         homes = plan.routes[name].homes
         routes.append({"route": name, "kind": after[name].kind,
-                       "seen": seen.row(plan.regionOf)["regions"],
-                       "calm": calm[name].row(plan.regionOf) if name in calm else None,
-                       "lost": after[name].row(plan.regionOf),
+                       "seen": seen.row(plan.region_of)["regions"],
+                       "calm": calm[name].row(plan.region_of) if name in calm else None,
+                       "lost": after[name].row(plan.region_of),
                        "homes": sorted(homes), "homeLeft": not homes or bool(homes - {lost})})
     return {"region": lost, "seconds": seconds, "seed": seed, "routes": routes,
-            "fronts": {address: round(sum(flow.perS for flow in flows), 1)
+            "fronts": {address: round(sum(flow.per_s for flow in flows), 1)
                        for address, flows in sorted(shifted(plan, lost).items())}}
--- a/stagevale/relaying/endpoint.py
+++ b/stagevale/relaying/endpoint.py
@@ -27,8 +27,8 @@
 class EndpointStream(asyncio.Protocol):
     """One stream to an endpoint; carries one job at a time."""
 
-    __slots__ = ("relay", "target", "transport", "parser", "job", "head", "body", "size", "keepMs",
-                 "timer", "openedMs", "written", "closing", "surplus")
+    __slots__ = ("relay", "target", "transport", "parser", "job", "head", "body", "size", "keep_ms",
+                 "timer", "opened_ms", "written", "closing", "surplus")
 
     def __init__(self, relay, target):
         self.relay = relay
@@ -39,9 +39,9 @@
         self.head = None
         self.body = []
         self.size = 0
-        self.keepMs = relay.context.settings.bounds.contactMs * 0.9
+        self.keep_ms = relay.context.settings.bounds.contact_ms * 0.9
         self.timer = None
-        self.openedMs = relay.context.nowMs()
+        self.opened_ms = relay.context.now_ms()
         self.written = False
         self.closing = False
         self.surplus = 0
@@ -50,21 +50,21 @@
         """Opens the stream and then sends the job."""
         self.job = job
         self.target.open += 1
-        silenceMs = self.relay.context.settings.bounds.contactMs / 14.0
-        self.relay.context.connect(wire.pair(self.target.address), self, self.notOpened, silenceMs,
-                                   self.relay.context.settings.bounds.contactMs)
+        silence_ms = self.relay.context.settings.bounds.contact_ms / 14.0
+        self.relay.context.connect(wire.pair(self.target.address), self, self.not_opened, silence_ms,
+                                   self.relay.context.settings.bounds.contact_ms)
 
-    def notOpened(self, problem):
+    def not_opened(self, problem):
         if self.transport is None and not self.closing:
             self.closing = True
             self.target.open -= 1
             job, self.job = self.job, None
             if job is not None:
-                self.relay.notSent(job, self.target, problem)
+                self.relay.not_sent(job, self.target, problem)
 
     def connection_made(self, transport):
         self.transport = transport
-        self.relay.chooser.connected(self.target, self.relay.context.nowMs() - self.openedMs)
+        self.relay.chooser.connected(self.target, self.relay.context.now_ms() - self.opened_ms)
         if self.closing:
             transport.abort()
             return
@@ -84,13 +84,13 @@
     def write(self):
         job = self.job
         self.head, self.body, self.size = None, [], 0
-        leftMs = int(job.cutoffMs - self.relay.context.nowMs())
-        if leftMs <= 0:
+        left_ms = int(job.cutoff_ms - self.relay.context.now_ms())
+        if left_ms <= 0:
             self.job = None
             self.park()
-            self.relay.notSent(job, self.target, None)
+            self.relay.not_sent(job, self.target, None)
             return
-        headers = job.headers + [(b"Deadline-Ms", str(leftMs).encode()),
+        headers = job.headers + [(b"Deadline-Ms", str(left_ms).encode()),
                                  (b"Expect-Instance", self.target.id.encode())]
         if job.body or job.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
             headers.append((b"Content-Length", str(len(job.body)).encode()))
@@ -104,12 +104,12 @@
             self.close()
             self.relay.broken(job, self.target, f"can't be sent: {problem}", False)
             return
-        if not self.relay.mayUse(self.target):
+        if not self.relay.may_use(self.target):
             self.job = None
             self.close()
-            self.relay.notSent(job, self.target, None)
+            self.relay.not_sent(job, self.target, None)
             return
-        if not self.relay.mayOffer(job):
+        if not self.relay.may_offer(job):
             self.job = None
             self.close()
             self.relay.unoffered(job, self.target)
@@ -157,8 +157,8 @@
         framed = b"content-length" in fields or b"transfer-encoding" in fields or head.status_code in (204, 304) \
             or job.method == b"HEAD"
         id = fields.get(b"attempt-id")
-        notRun = b"not-run" in fields or head.status_code == 421
-        if id != job.attemptId and not (id is None and notRun):
+        not_run = b"not-run" in fields or head.status_code == 421
+        if id != job.attempt_id and not (id is None and not_run):
             if id is None or not framed or self.parser.their_state is not h11.DONE or self.surplus >= 2:
                 self.fail("an answer to something else")
                 return False
@@ -179,7 +179,7 @@
         self.job = None
         keep = fields.get(b"keep-alive", b"")
         if keep:
-            self.readKeepAlive(keep)
+            self.read_keep_alive(keep)
         reusable = (self.parser.their_state is h11.DONE and self.parser.our_state is h11.DONE
                     and not self.parser.trailing_data[0] and not self.surplus)
         if reusable:
@@ -190,11 +190,11 @@
         self.relay.answered(job, self.target, answer)
         return False
 
-    def readKeepAlive(self, text):
+    def read_keep_alive(self, text):
         for part in text.split(b","):
             name, _, value = part.strip().partition(b"=")
             if name.lower() == b"timeout" and value.strip().isdigit():
-                self.keepMs = max(200.0, int(value) * 1000.0 * 0.75)
+                self.keep_ms = max(200.0, int(value) * 1000.0 * 0.75)
 
     def park(self):
         """Keeps the stream for a later job, for a shorter time than the endpoint does."""
@@ -202,7 +202,7 @@
             self.close()
             return
         self.target.idle.append(self)
-        self.timer = self.relay.context.after(self.keepMs, self.close)
+        self.timer = self.relay.context.after(self.keep_ms, self.close)
 
     def fail(self, why):
         job, self.job = self.job, None
@@ -210,7 +210,7 @@
         if job is not None:
             self.relay.broken(job, self.target, why, self.head is None)
 
-    def giveUp(self):
+    def give_up(self):
         """Closes the stream under its job, which nobody waits for any more."""
         self.job = None
         self.close()
--- a/stagevale/rollouts/checking.py
+++ b/stagevale/rollouts/checking.py
@@ -4,14 +4,14 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.configuration.checking import ConfigProblem, checkVersion, fingerprint
+from stagevale.configuration.checking import ConfigProblem, check_version, fingerprint
 from stagevale.rollouts import DONE, ENDED, FALLEN, PAUSED, SHIFTING, Rollout
 
 ROLLOUT_BYTES = 64 * 1024
 SHARE = t.Float(gt=0.0, lte=1.0)
 ROLLOUT = t.Dict({
-    t.Key("version"): checkVersion,
-    t.Key("parentVersion", default=0): checkVersion,
+    t.Key("version"): check_version,
+    t.Key("parentVersion", default=0): check_version,
     t.Key("from"): t.String(max_length=200),
     t.Key("to"): t.String(max_length=200),
     t.Key("steps"): t.List(SHARE, min_length=1, max_length=100),
--- a/stagevale/rollouts/judging.py
+++ b/stagevale/rollouts/judging.py
@@ -49,7 +49,7 @@
             return rollout.after(state=FALLEN, reason=reason)
         seen = sum(both[NEW][REQUESTS] for both in zones.values())
         unheard = [address for address in proxies
-                   if now_ms - self.heard_ms.get(address, -1e12) > self.bounds.contactMs * UNHEARD_SHARE]
+                   if now_ms - self.heard_ms.get(address, -1e12) > self.bounds.contact_ms * UNHEARD_SHARE]
         if now_ms - since_ms < rollout.watch_s * 1000.0 or seen < rollout.least_requests \
                 or len(unheard) > self.tolerated:
             return None
--- a/stagevale/settings/__init__.py
+++ b/stagevale/settings/__init__.py
@@ -1,5 +1,6 @@
 """The settings of one daemon: read from TOML, checked, and kept as plain fields."""
 import os
+import re
 import tomllib
 
 SETTINGS_VARIABLE = "STAGEVALE_CONFIG"
@@ -19,32 +20,37 @@
     """A settings file that can't be used; the message names the field."""
 
 
+def snake_case(name):
+    """The platform's name of a figure as a name in the code."""
+    return re.sub(r"(?<=[a-z])[A-Z]", lambda found: "_" + found.group().lower(), name)
+
+
 class Bounds:
     """The figures of the rules in force, by the names of the platform."""
 
-    __slots__ = tuple(BOUND_DEFAULTS)
+    __slots__ = tuple(snake_case(name) for name in BOUND_DEFAULTS)
 
     def __init__(self, table):
         for name, default in BOUND_DEFAULTS.items():
             value = table.get(name, default)
             if isinstance(value, bool) or not isinstance(value, (int, float)) or value < 0:
                 raise SettingsProblem(f"bounds.{name}: want a number not below 0, got {value!r}")
-            setattr(self, name, value)
+            setattr(self, snake_case(name), value)
         for name in ("contactMs", "ackDeadlineMs", "gracePeriodS", "applyMs", "retryWindowS", "leaseMs", "reportWindowS",
                      "usageDelayS"):
-            if getattr(self, name) <= 0:
+            if getattr(self, snake_case(name)) <= 0:
                 raise SettingsProblem(f"bounds.{name}: want a number above 0")
 
 
 class Settings:
     """One daemon's settings; immutable by custom, replaced whole on a reload."""
 
-    __slots__ = ("name", "machineClass", "ip", "area", "region", "counted", "firstStart", "dataPath",
-                 "memoryMb", "fileLimit", "innerPorts", "seeds", "listen", "areas", "beatMs",
-                 "tolerance", "bounds", "policyPath", "steering", "platform", "duties", "dutyPerS")
+    __slots__ = ("name", "machine_class", "ip", "area", "region", "counted", "first_start", "data_path",
+                 "memory_mb", "file_limit", "inner_ports", "seeds", "listen", "areas", "beat_ms",
+                 "tolerance", "bounds", "policy_path", "steering", "platform", "duties", "duty_per_s")
 
 
-def splitAddress(text, field):
+def split_address(text, field):
     """Takes `ip:port` apart; a wrong one is a SettingsProblem that names the field."""
     ip, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not port.isdigit() or not 0 < int(port) < 65536 or ip.count(".") != 3:
@@ -60,7 +66,7 @@
     return value
 
 
-def readSettings(text):
+def read_settings(text):
     """Checks the text of a settings file and returns Settings, or raises SettingsProblem."""
     try:
         table = tomllib.loads(text)
@@ -71,23 +77,23 @@
             raise SettingsProblem(f"{section}: want a table, got {value!r}")
     settings = Settings()
     settings.name = take(table, "daemon", "name", str)
-    settings.machineClass = take(table, "daemon", "machineClass", str, "")
+    settings.machine_class = take(table, "daemon", "machineClass", str, "")
     settings.ip = take(table, "daemon", "ip", str)
-    splitAddress(settings.ip + ":1", "daemon.ip")
+    split_address(settings.ip + ":1", "daemon.ip")
     settings.area = take(table, "daemon", "area", str)
     settings.region = take(table, "daemon", "region", str)
     settings.counted = take(table, "daemon", "counted", bool, False)
-    settings.firstStart = take(table, "daemon", "firstStart", bool, False)
-    settings.dataPath = take(table, "daemon", "dataPath", str, "")
-    settings.memoryMb = take(table, "limits", "memoryMb", (int, float), 300)
-    settings.fileLimit = take(table, "limits", "fileLimit", int, 4096)
+    settings.first_start = take(table, "daemon", "firstStart", bool, False)
+    settings.data_path = take(table, "daemon", "dataPath", str, "")
+    settings.memory_mb = take(table, "limits", "memoryMb", (int, float), 300)
+    settings.file_limit = take(table, "limits", "fileLimit", int, 4096)
     ports = take(table, "streams", "innerPorts", list)
     if len(ports) != 2 or not all(isinstance(p, int) and 0 < p < 65536 for p in ports) or ports[0] >= ports[1]:
         raise SettingsProblem(f"streams.innerPorts: want two rising ports, got {ports!r}")
-    settings.innerPorts = tuple(ports)
+    settings.inner_ports = tuple(ports)
     seeds = take(table, "streams", "seeds", list, [])
-    settings.seeds = tuple(splitAddress(seed, "streams.seeds")[0] for seed in seeds)
-    settings.listen = {name: splitAddress(address, f"listen.{name}")
+    settings.seeds = tuple(split_address(seed, "streams.seeds")[0] for seed in seeds)
+    settings.listen = {name: split_address(address, f"listen.{name}")
                        for name, address in table.get("listen", {}).items()}
     areas = table.get("areas", {})
     for area, region in areas.items():
@@ -95,33 +101,33 @@
             raise SettingsProblem(f"areas.{area}: want the name of a region, got {region!r}")
     settings.areas = dict(areas)
     settings.areas.setdefault(settings.area, settings.region)
-    settings.beatMs = take(table, "terms", "beatMs", (int, float), 1500)
+    settings.beat_ms = take(table, "terms", "beatMs", (int, float), 1500)
     settings.tolerance = dict(table.get("tolerance", {}))
     settings.bounds = Bounds(table.get("bounds", {}))
-    settings.policyPath = take(table, "policy", "path", str, "")
+    settings.policy_path = take(table, "policy", "path", str, "")
     settings.steering = take(table, "steering", "on", bool, False)
     platform = take(table, "platform", "address", str, "")
-    settings.platform = splitAddress(platform, "platform.address") if platform else None
+    settings.platform = split_address(platform, "platform.address") if platform else None
     duties = take(table, "platform", "duties", list, []) if platform else []
     if not all(isinstance(duty, str) for duty in duties):
         raise SettingsProblem(f"platform.duties: want a list of names, got {duties!r}")
     settings.duties = tuple(duties)
-    settings.dutyPerS = take(table, "platform", "dutyPerS", (int, float), 10)
-    if isinstance(settings.dutyPerS, bool) or settings.dutyPerS <= 0:
-        raise SettingsProblem(f"platform.dutyPerS: want a number above 0, got {settings.dutyPerS!r}")
+    settings.duty_per_s = take(table, "platform", "dutyPerS", (int, float), 10)
+    if isinstance(settings.duty_per_s, bool) or settings.duty_per_s <= 0:
+        raise SettingsProblem(f"platform.dutyPerS: want a number above 0, got {settings.duty_per_s!r}")
     return settings
 
 
-def settingsPath():
+def settings_path():
     """The path of the settings file that this process is to use."""
     return os.environ.get(SETTINGS_VARIABLE, SETTINGS_PATH)
 
 
-def loadSettings(path):
+def load_settings(path):
     """Reads and checks the settings file at `path`."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as problem:
         raise SettingsProblem(f"can't be read: {getattr(problem, 'strerror', None) or problem}") from None
-    return readSettings(text)
+    return read_settings(text)
--- a/stagevale/steering/__init__.py
+++ b/stagevale/steering/__init__.py
@@ -92,9 +92,9 @@
         self.estimates = {}
         self.shares = {}
         self.moved_ms = {}
-        self.stale_ms = bounds.contactMs * STALE_SHARE
-        self.round_ms = bounds.contactMs * ROUND_SHARE
-        self.memory_ms = bounds.contactMs
+        self.stale_ms = bounds.contact_ms * STALE_SHARE
+        self.round_ms = bounds.contact_ms * ROUND_SHARE
+        self.memory_ms = bounds.contact_ms
         self.ways = ways
 
     def estimate(self, service, region):
--- a/stagevale/tenants/__init__.py
+++ b/stagevale/tenants/__init__.py
@@ -18,28 +18,28 @@
 class Keys:
     """All keys of one configuration. Immutable by custom."""
 
-    __slots__ = ("byKey",)
+    __slots__ = ("by_key",)
 
     def __init__(self, rows):
-        self.byKey = {}
+        self.by_key = {}
         for row in rows:
             tenant = Tenant(row)
             for key in row.get("apiKeys") or ():
-                self.byKey[key.encode()] = tenant
+                self.by_key[key.encode()] = tenant
 
     def tenant(self, credentials):
         """The tenant whose key stands in an `Authorization` value, or None."""
         if credentials is None or credentials[:7].lower() != SCHEME:
             return None
-        return self.byKey.get(credentials[7:].strip())
+        return self.by_key.get(credentials[7:].strip())
 
 
-def readKeys(rows):
+def read_keys(rows):
     """The keys of a configuration's `tenants`, or None where it has none."""
     return Keys(rows) if rows else None
 
 
-def tenantsProblem(rows, regions):
+def tenants_problem(rows, regions):
     """Why checked rows of `tenants` can't be taken, naming the place and never a key; None where they can."""
     names, keys = set(), set()
     for number, row in enumerate(rows):
--- a/stagevale/wire/__init__.py
+++ b/stagevale/wire/__init__.py
@@ -85,7 +85,7 @@
     return value
 
 
-def packRows(rows):
+def pack_rows(rows):
     """Many rows as one field of a message: JSON, which reads a hundred times faster than rows of a flexbuffer; many
     together are squeezed, since a proxy's link is narrow and each start of one brings it every endpoint."""
     if not rows:
@@ -94,7 +94,7 @@
     return squeeze(data) if len(data) > SQUEEZE_FROM_BYTES else data
 
 
-def unpackRows(data):
+def unpack_rows(data):
     """The rows that `packRows` was given."""
     try:
         return json.loads(unsqueeze(data) if data[:1] == b"x" else data) if data else []
@@ -115,14 +115,14 @@
         raise WireProblem("unsqueeze", "a colleague", repr(problem)) from None
 
 
-def packAddress(address):
+def pack_address(address):
     """`ip:port` as six bytes."""
     ip, _, port = address.rpartition(":")
     a, b, c, d = ip.split(".")
     return struct.pack("!BBBBH", int(a), int(b), int(c), int(d), int(port))
 
 
-def unpackAddress(data):
+def unpack_address(data):
     """Six bytes as `ip:port`."""
     a, b, c, d, port = struct.unpack("!BBBBH", data)
     return f"{a}.{b}.{c}.{d}:{port}"
--- a/stagevale/wire/switchboard.py
+++ b/stagevale/wire/switchboard.py
@@ -8,7 +8,7 @@
 class ColleagueStream(asyncio.Protocol):
     """One TCP stream to or from a colleague; frames in, frames out."""
 
-    __slots__ = ("board", "peer", "transport", "buffer", "dialled", "waiting", "readyToSend")
+    __slots__ = ("board", "peer", "transport", "buffer", "dialled", "waiting", "ready_to_send")
 
     def __init__(self, board, peer, dialled):
         self.board = board
@@ -17,19 +17,19 @@
         self.transport = None
         self.buffer = bytearray()
         self.waiting = []
-        self.readyToSend = False
+        self.ready_to_send = False
 
     def connection_made(self, transport):
         self.transport = transport
         if self.dialled:
-            self.readyToSend = True
+            self.ready_to_send = True
             self.write(wire.pack([wire.HELLO, 0, self.board.address]))
             for data in self.waiting:
                 self.write(data)
             self.waiting = []
 
     def send(self, data):
-        if self.readyToSend:
+        if self.ready_to_send:
             self.write(data)
         else:
             self.waiting.append(data)
@@ -82,7 +82,7 @@
 class Switchboard:
     """Keeps the streams to colleagues, hands messages to their handlers, and matches answers to calls."""
 
-    __slots__ = ("context", "address", "streams", "handlers", "calls", "callNo", "lostHooks", "silenceMs")
+    __slots__ = ("context", "address", "streams", "handlers", "calls", "call_no", "lost_hooks", "silence_ms")
 
     def __init__(self, context, address):
         self.context = context
@@ -90,9 +90,9 @@
         self.streams = {}
         self.handlers = {}
         self.calls = {}
-        self.callNo = 0
-        self.lostHooks = []
-        self.silenceMs = context.settings.bounds.contactMs * 0.35
+        self.call_no = 0
+        self.lost_hooks = []
+        self.silence_ms = context.settings.bounds.contact_ms * 0.35
 
     def start(self):
         """Begins to listen for colleagues."""
@@ -102,60 +102,60 @@
         """Sets the handler of a kind: handler(peer, body, reply), where reply is None for a cast."""
         self.handlers[kind] = handler
 
-    def streamTo(self, peer):
+    def stream_to(self, peer):
         streams = self.streams.get(peer)
         if streams:
             return streams[-1]
         stream = ColleagueStream(self, peer, True)
         self.streams.setdefault(peer, []).append(stream)
         self.context.connect(wire.pair(peer), stream, lambda problem: self.lost(stream, problem),
-                             self.silenceMs, self.silenceMs)
+                             self.silence_ms, self.silence_ms)
         return stream
 
     def cast(self, peer, kind, body):
         """Sends a message that wants no answer."""
         if peer != self.address:
-            self.streamTo(peer).send(wire.pack([kind, 0, body]))
+            self.stream_to(peer).send(wire.pack([kind, 0, body]))
         else:
             self.context.soon(self.handlers[kind], peer, body, None)
 
-    def call(self, peer, kind, body, cutoffMs, done):
+    def call(self, peer, kind, body, cutoff_ms, done):
         """Sends a question; `done(answer, problem)` is called exactly once."""
         if peer == self.address:
             self.context.soon(self.handlers[kind], peer, body, lambda answer: done(answer, None))
             return
-        self.callNo += 1
-        callNo = self.callNo
-        stream = self.streamTo(peer)
-        timer = self.context.after(cutoffMs, self.give, callNo, None, "no answer in time")
-        self.calls[callNo] = Call(stream, done, timer, peer)
-        stream.send(wire.pack([kind, callNo, body]))
-
-    def give(self, callNo, answer, problem):
-        call = self.calls.pop(callNo, None)
+        self.call_no += 1
+        call_no = self.call_no
+        stream = self.stream_to(peer)
+        timer = self.context.after(cutoff_ms, self.give, call_no, None, "no answer in time")
+        self.calls[call_no] = Call(stream, done, timer, peer)
+        stream.send(wire.pack([kind, call_no, body]))
+
+    def give(self, call_no, answer, problem):
+        call = self.calls.pop(call_no, None)
         if call is not None:
             call.timer.cancel()
             call.done(answer, problem)
 
     def arrived(self, stream, message):
-        kind, callNo, body = message[0], message[1], message[2]
+        kind, call_no, body = message[0], message[1], message[2]
         if kind == wire.HELLO:
             if not isinstance(body, str) or body.count(".") != 3:
                 raise wire.WireProblem("hello", stream.peer, "no address")
             stream.peer = body
-            stream.readyToSend = True
+            stream.ready_to_send = True
             self.streams.setdefault(body, []).append(stream)
             return
         if kind == wire.ANSWER:
-            self.give(callNo, body, None)
+            self.give(call_no, body, None)
             return
         if not stream.peer:
             raise wire.WireProblem("first message", "an unnamed peer", "no hello")
         handler = self.handlers.get(kind)
         if handler is None:
             raise wire.WireProblem(f"kind {kind}", stream.peer, "not handled here")
-        if callNo:
-            handler(stream.peer, body, lambda answer: stream.send(wire.pack([wire.ANSWER, callNo, answer])))
+        if call_no:
+            handler(stream.peer, body, lambda answer: stream.send(wire.pack([wire.ANSWER, call_no, answer])))
         else:
             handler(stream.peer, body, None)
 
@@ -166,14 +166,14 @@
             if not streams:
                 self.streams.pop(stream.peer, None)
         stream.waiting = []
-        for callNo, call in list(self.calls.items()):
+        for call_no, call in list(self.calls.items()):
             if call.stream is stream:
-                self.give(callNo, None, f"stream lost: {problem!r}")
+                self.give(call_no, None, f"stream lost: {problem!r}")
         if stream.peer:
-            for hook in self.lostHooks:
+            for hook in self.lost_hooks:
                 hook(stream.peer)
 
-    def hangUp(self, peer):
+    def hang_up(self, peer):
         """Closes every stream to a colleague."""
         for stream in list(self.streams.get(peer, [])):
             if stream.transport is not None:
--- a/tests/simworld.py
+++ b/tests/simworld.py
@@ -4,7 +4,7 @@
 
 import simpy
 
-from stagevale.settings import readSettings
+from stagevale.settings import read_settings
 
 
 class Log:
@@ -35,10 +35,10 @@
 class SimTransport:
     """One end of a stream."""
 
-    def __init__(self, world, mine, theirs, protocol, silenceMs, local):
+    def __init__(self, world, mine, theirs, protocol, silence_ms, local):
         self.world, self.mine, self.theirs, self.protocol = world, mine, theirs, protocol
-        self.silenceMs, self.local = silenceMs, local
-        self.other, self.closed, self.lastAt, self.held = None, False, 0.0, None
+        self.silence_ms, self.local = silence_ms, local
+        self.other, self.closed, self.last_at, self.held = None, False, 0.0, None
 
     def is_closing(self):
         return self.closed
@@ -55,14 +55,14 @@
             self.protocol.data_received(data)
 
     def at(self):
-        self.lastAt = max(self.lastAt, self.world.env.now + self.world.delay(self.mine, self.theirs))
-        return self.lastAt - self.world.env.now
+        self.last_at = max(self.last_at, self.world.env.now + self.world.delay(self.mine, self.theirs))
+        return self.last_at - self.world.env.now
 
     def write(self, data):
         if self.closed or not data:
             return
-        if self.world.isCut(self.mine, self.theirs):
-            self.world.later(self.silenceMs, self.lose, OSError("timed out"))
+        if self.world.is_cut(self.mine, self.theirs):
+            self.world.later(self.silence_ms, self.lose, OSError("timed out"))
             return
         self.world.count(self.mine, self.theirs, data)
         self.world.later(self.at(), self.other.arrive, bytes(data))
@@ -70,8 +70,8 @@
     def arrive(self, data):
         if self.closed or not self.world.up(self.mine):
             return
-        if self.world.thawMs(self.local) > 0:
-            self.world.later(self.world.thawMs(self.local), self.arrive, data)
+        if self.world.thaw_ms(self.local) > 0:
+            self.world.later(self.world.thaw_ms(self.local), self.arrive, data)
             return
         if self.held is not None:
             self.held.append(data)
@@ -93,16 +93,16 @@
     def ended(self):
         if self.closed or not self.world.up(self.mine):
             return
-        if self.world.thawMs(self.local) > 0:
-            self.world.later(self.world.thawMs(self.local), self.ended)
+        if self.world.thaw_ms(self.local) > 0:
+            self.world.later(self.world.thaw_ms(self.local), self.ended)
             return
         if not self.protocol.eof_received():
             self.closed = True
             self.protocol.connection_lost(None)
 
     def lose(self, problem):
-        if not self.closed and self.world.thawMs(self.local) > 0:
-            self.world.later(self.world.thawMs(self.local), self.lose, problem)
+        if not self.closed and self.world.thaw_ms(self.local) > 0:
+            self.world.later(self.world.thaw_ms(self.local), self.lose, problem)
         elif not self.closed:
             self.closed = True
             if self.world.up(self.mine):
@@ -131,31 +131,31 @@
         """Stops a daemon for a while: what would have reached it meanwhile reaches it when it thaws."""
         self.frozen[context] = self.env.now + ms
 
-    def thawMs(self, context):
+    def thaw_ms(self, context):
         return max(0.0, self.frozen.get(context, 0.0) - self.env.now)
 
-    def later(self, delayMs, call, *args):
+    def later(self, delay_ms, call, *args):
         timer = Timer()
-        event = self.env.timeout(max(0.0, delayMs))
+        event = self.env.timeout(max(0.0, delay_ms))
         event.callbacks.append(lambda _: None if timer.off else call(*args))
         return timer
 
     def run(self, ms):
         self.env.run(until=self.env.now + ms)
 
-    def until(self, condition, limitMs=30000, stepMs=20):
-        end = self.env.now + limitMs
+    def until(self, condition, limit_ms=30000, step_ms=20):
+        end = self.env.now + limit_ms
         while self.env.now < end:
             if condition():
                 return True
-            self.run(stepMs)
+            self.run(step_ms)
         return condition()
 
     def delay(self, one, other):
         here, there = self.regions.get(one), self.regions.get(other)
         return 0.2 if one == other else 1.0 if here == there else 30.0
 
-    def isCut(self, one, other):
+    def is_cut(self, one, other):
         return frozenset((one, other)) in self.cuts
 
     def cut(self, ones, others):
@@ -197,21 +197,21 @@
         self.stopped = True
         self.world.kill(self)
 
-    def nowMs(self):
+    def now_ms(self):
         return self.world.env.now
 
-    def wallMs(self):
+    def wall_ms(self):
         return 1.7e12 + self.world.env.now + self.world.steps.get(self.settings.ip, 0.0)
 
     def guarded(self, call, *args):
-        thawMs = self.world.thawMs(self)
-        if self.alive and thawMs > 0:
-            self.world.later(thawMs, self.guarded, call, *args)
+        thaw_ms = self.world.thaw_ms(self)
+        if self.alive and thaw_ms > 0:
+            self.world.later(thaw_ms, self.guarded, call, *args)
         elif self.alive:
             call(*args)
 
-    def after(self, delayMs, call, *args):
-        return self.world.later(delayMs, self.guarded, call, *args)
+    def after(self, delay_ms, call, *args):
+        return self.world.later(delay_ms, self.guarded, call, *args)
 
     def soon(self, call, *args):
         self.world.later(0, self.guarded, call, *args)
@@ -223,20 +223,20 @@
         self.world.sockets[address] = (self, protocol)
         self.world.later(0, protocol.connection_made, SimDatagrams(self, address))
 
-    def connect(self, address, protocol, failed, timeoutMs, silenceMs):
+    def connect(self, address, protocol, failed, timeout_ms, silence_ms):
         world, mine = self.world, self.settings.ip
 
         def arrive():
             found = world.listeners.get(address)
-            if world.isCut(mine, address[0]):
-                self.after(timeoutMs, failed, TimeoutError("timed out"))
+            if world.is_cut(mine, address[0]):
+                self.after(timeout_ms, failed, TimeoutError("timed out"))
                 return
             if found is None:
                 self.after(world.delay(mine, address[0]), failed, ConnectionRefusedError("refused"))
                 return
             theirs, factory = found
-            far = SimTransport(world, address[0], mine, factory(), silenceMs, theirs)
-            near = SimTransport(world, mine, address[0], protocol, silenceMs, self)
+            far = SimTransport(world, address[0], mine, factory(), silence_ms, theirs)
+            near = SimTransport(world, mine, address[0], protocol, silence_ms, self)
             far.other, near.other = near, far
             world.transports += [far, near]
             far.protocol.connection_made(far)
@@ -262,13 +262,13 @@
 
     def sendto(self, data, address):
         world = self.context.world
-        if not self.context.alive or world.isCut(self.address[0], address[0]):
+        if not self.context.alive or world.is_cut(self.address[0], address[0]):
             return
         world.count(self.address[0], address[0], data)
 
         def arrive():
             found = world.sockets.get(address)
-            if found is not None and found[0].alive and not world.thawMs(found[0]):
+            if found is not None and found[0].alive and not world.thaw_ms(found[0]):
                 found[1].datagram_received(data, self.address)
         world.later(world.delay(self.address[0], address[0]), arrive)
 
@@ -295,7 +295,7 @@
     def load(self):
         return list(self.rows)
 
-    def wantsWhole(self):
+    def wants_whole(self):
         return len(self.rows) > 2000
 
     def append(self, rows, whole):
@@ -340,37 +340,37 @@
         self.registries, self.stores, self.proxies = {}, {}, {}
         for number, area in enumerate(AREAS):
             self.world.regions[f"10.0.0.{number + 1}"] = area[0]
-            self.startCore(number, True)
+            self.start_core(number, True)
         for number in range(proxies):
             self.world.regions[f"10.0.1.{number + 1}"] = AREAS[number % 6][0]
-            self.startProxy(number)
+            self.start_proxy(number)
 
     def settings(self, ip, area, listen, first):
         seeds = ", ".join(f'"10.0.0.{n}:8000"' for n in (1, 2, 3))
-        return readSettings(SETTINGS.format(name=f"node-{ip}", ip=ip, area=area, region=area[0], seeds=seeds,
+        return read_settings(SETTINGS.format(name=f"node-{ip}", ip=ip, area=area, region=area[0], seeds=seeds,
                                             listen=listen, counted="true", first="true" if first else "false")
                             + self.more)
 
-    def startCore(self, number, first):
-        self.startRegistry(number, first)
-        self.startStore(number, first)
+    def start_core(self, number, first):
+        self.start_registry(number, first)
+        self.start_store(number, first)
 
-    def startRegistry(self, number, first=False):
+    def start_registry(self, number, first=False):
         from stagevale.programs.registry import Registry
         ip = f"10.0.0.{number + 1}"
         self.world.regions[ip] = AREAS[number % 6][0]
         settings = self.settings(ip, AREAS[number % 6], f'control = "{ip}:8000"\ndirectory = "{ip}:8001"', first)
-        settings.dataPath = ""
+        settings.data_path = ""
         logs = self.world.disks.setdefault("sessions " + ip, MemoryLog())
         daemon = Registry(SimContext(self.world, settings, f"registry-{number + 1}"), "/none")
         self.registries[number] = daemon
-        daemon.desk.openLog = lambda: logs
+        daemon.desk.open_log = lambda: logs
         daemon.desk.remember(self.world.disks.setdefault("registry " + ip, MemoryDisk()))
         if settings.duties:
-            daemon.takePart(self.world.disks.setdefault("duties " + ip, MemoryDisk()))
+            daemon.take_part(self.world.disks.setdefault("duties " + ip, MemoryDisk()))
         daemon.begin()
 
-    def startStore(self, number, first=False):
+    def start_store(self, number, first=False):
         from stagevale.configuration import Keeper
         from stagevale.placement import place
         from stagevale.programs import Daemon
@@ -384,7 +384,7 @@
         daemon.begin()
         keeper.start()
 
-    def startProxy(self, number):
+    def start_proxy(self, number):
         from stagevale.programs.proxy import Proxy
         ip = f"10.0.1.{number + 1}"
         settings = self.settings(ip, AREAS[number % 6], f'front = "{ip}:9000"\nready = "{ip}:9001"', True)
@@ -392,7 +392,7 @@
         self.proxies[number] = daemon
         daemon.begin()
 
-    def killCore(self, number):
+    def kill_core(self, number):
         self.world.kill(self.registries[number].context)
         self.world.kill(self.stores[number].context)
 
@@ -414,16 +414,16 @@
         return [number + 1 for number, keeper in self.stores.items()
                 if keeper.context.alive and keeper.ballot is not None and keeper.chosen is not None]
 
-    def order(self, number, order, payload, waitMs=3000):
+    def order(self, number, order, payload, wait_ms=3000):
         """Sends an operator's order to one registry; returns (status, text), or None where none came."""
         got = []
         self.registries[number].desk.order(order, payload, lambda status, text: got.append((status, text)))
-        self.world.until(lambda: got, waitMs)
+        self.world.until(lambda: got, wait_ms)
         return got[0] if got else None
 
-    def insist(self, numbers, order, payload, limitMs=12000):
+    def insist(self, numbers, order, payload, limit_ms=12000):
         """Sends an order as the operator does, again and again, until there is a clear answer."""
-        end = self.world.env.now + limitMs
+        end = self.world.env.now + limit_ms
         while self.world.env.now < end:
             for number in numbers:
                 answer = self.order(number, order, payload, 1000)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -6,7 +6,7 @@
 from stagevale.configuration.value import Value
 from stagevale.programs.proxy import Proxy
 from stagevale.registrations import READY, Life
-from stagevale.settings import readSettings
+from stagevale.settings import read_settings
 
 PROXY_SETTINGS = """
 [daemon]
@@ -41,8 +41,8 @@
         self.alive = True
         world.listeners[(self.ip, 80)] = (self, lambda: EndpointSide(self))
 
-    def life(self, state=READY, coldMs=0, seq=1):
-        return Life(self.id, self.service, f"{self.ip}:80", self.area, 3, state, seq, 0, seq if coldMs else 0, coldMs,
+    def life(self, state=READY, cold_ms=0, seq=1):
+        return Life(self.id, self.service, f"{self.ip}:80", self.area, 3, state, seq, 0, seq if cold_ms else 0, cold_ms,
                     software=self.software)
 
 
@@ -66,13 +66,13 @@
             body, self.buffer = rest[:length], rest[length:]
             self.endpoint.heads.append(head.split(b"\r\n")[0].decode())
             out = self.endpoint.rule(self.endpoint, fields, body)
-            delayMs = 20
+            delay_ms = 20
             if isinstance(out, tuple):
-                out, delayMs = out
+                out, delay_ms = out
             if out == b"RESET":
                 self.endpoint.world.later(5, self.transport.abort)
             elif out is not None:
-                self.endpoint.world.later(delayMs, self.transport.write, out)
+                self.endpoint.world.later(delay_ms, self.transport.write, out)
 
 
 def good(endpoint, fields, body, text=b"fine", extra=b""):
@@ -102,7 +102,7 @@
         return [part[:3].decode() for part in self.got.split(b"HTTP/1.1 ")[1:]]
 
 
-def clientAt(world, ip):
+def client_at(world, ip):
     """A client's stream to the front at `ip`, or None where nobody listens."""
     found = world.listeners.get((ip, 9000))
     if found is None:
@@ -123,7 +123,7 @@
     def __init__(self, seed=1, routes=None, more=None, settings=""):
         self.world = World(seed)
         self.world.regions["10.0.1.1"] = self.world.regions["10.7.0.1"] = "a"
-        self.context = SimContext(self.world, readSettings(PROXY_SETTINGS + settings), "proxy")
+        self.context = SimContext(self.world, read_settings(PROXY_SETTINGS + settings), "proxy")
         self.proxy = Proxy(self.context, "/none")
         self.proxy.begin()
         self.endpoints = []
@@ -142,9 +142,9 @@
         self.digest(self.value)
 
     def digest(self, value):
-        self.proxy.relay.digest = self.proxy.relay.digest.withValue(value)
-        self.proxy.livesHeard = True
-        self.proxy.relay.digest = self.proxy.relay.digest.withProxies((("10.0.1.1:7200", "a1", "a"),))
+        self.proxy.relay.digest = self.proxy.relay.digest.with_value(value)
+        self.proxy.lives_heard = True
+        self.proxy.relay.digest = self.proxy.relay.digest.with_proxies((("10.0.1.1:7200", "a1", "a"),))
 
     def endpoint(self, rule=good, area="a1", service="s"):
         endpoint = Endpoint(self.world, len(self.endpoints) + 1, rule, area, service)
@@ -153,11 +153,11 @@
         return endpoint
 
     def tell(self, life):
-        self.proxy.takeLife(life, self.world.env.now, self.proxy.relay.digest)
-        self.proxy.relay.digest = self.proxy.relay.digest.withTargets(self.proxy.tables())
+        self.proxy.take_life(life, self.world.env.now, self.proxy.relay.digest)
+        self.proxy.relay.digest = self.proxy.relay.digest.with_targets(self.proxy.tables())
 
     def client(self, data=b""):
-        client = clientAt(self.world, "10.0.1.1")
+        client = client_at(self.world, "10.0.1.1")
         if data:
             client.transport.write(data)
         return client
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -4,10 +4,10 @@
 import pytest
 
 from simworld import Fleet
-from standins import Endpoint, clientAt, good, job
-from stagevale.affinity import ANSWERED, FREE, NOTED, Entry, Record, chooseMembers, digestOf, tend
+from standins import Endpoint, client_at, good, job
+from stagevale.affinity import ANSWERED, FREE, NOTED, Entry, Record, choose_members, digest_of, tend
 from stagevale.affinity.log import SessionLog
-from stagevale.configuration.checking import readConfig
+from stagevale.configuration.checking import read_config
 from stagevale.configuration.disk import Folder
 
 AFFINITY = {"header": "Session-Id"}
@@ -32,7 +32,7 @@
         self.world = self.fleet.world
         assert self.world.until(lambda: len(self.fleet.owners()) == 1 and self.fleet.formed(12 + proxies), 25000)
         assert self.fleet.insist([0], "replace", json.dumps(CONFIG))[0] == 200
-        self.runs, self.clients, self.workMs, self.rule, self.number = [], [], 60, None, 0
+        self.runs, self.clients, self.work_ms, self.rule, self.number = [], [], 60, None, 0
         self.endpoints = []
         for place, area in enumerate(("a1", "b1", "c1", "a2", "b2", "c2")):
             endpoint = Endpoint(self.world, place + 1, self.run, area)
@@ -51,7 +51,7 @@
         self.world.later(1500, self.beat, place, endpoint, seq + 1)
         for number in (place, (place + 1) % 6):
             if self.fleet.registries[number].context.alive:
-                self.fleet.registries[number].desk.takeIn(endpoint.life(seq=seq), lambda status, body: None)
+                self.fleet.registries[number].desk.take_in(endpoint.life(seq=seq), lambda status, body: None)
                 return
 
     def run(self, endpoint, fields, body):
@@ -60,13 +60,13 @@
         if out is not None:
             return out
         self.runs.append((self.world.env.now, key, endpoint.id))
-        return good(endpoint, fields, body, b"run " + str(len(self.runs)).encode()), self.workMs
+        return good(endpoint, fields, body, b"run " + str(len(self.runs)).encode()), self.work_ms
 
     def send(self, proxy, key, session="fan", path="/e/x", body=b"crate", more=b""):
         """Sends a job to a site; the client, or None where there is no site."""
         self.number += 1
         ip = f"10.0.1.{proxy + 1}"
-        client = clientAt(self.world, ip)
+        client = client_at(self.world, ip)
         if client is None:
             return None
         heads = b""
@@ -81,8 +81,8 @@
     def ran(self, key):
         return sum(1 for _, ran, _ in self.runs if ran == key)
 
-    def answer(self, client, limitMs=4000):
-        self.world.until(lambda: client.statuses(), limitMs, 5)
+    def answer(self, client, limit_ms=4000):
+        self.world.until(lambda: client.statuses(), limit_ms, 5)
         return client.statuses()[0] if client.statuses() else None
 
 
@@ -102,7 +102,7 @@
 
 def test_a_repeat_under_way_gets_its_answer_when_it_comes_or_409_at_the_cutoff():
     day = Crossing(seed=2)
-    day.workMs = 700
+    day.work_ms = 700
     first = day.send(0, "k1")
     day.world.run(400)
     beside, across = day.send(0, "k1"), day.send(1, "k1")
@@ -119,7 +119,7 @@
 
 def test_a_client_that_hangs_up_and_repeats_elsewhere_gets_the_answer_of_the_one_run():
     day = Crossing(seed=3)
-    day.workMs = 500
+    day.work_ms = 500
     first = day.send(0, "k1")
     day.world.run(350)
     first.transport.abort()
@@ -169,11 +169,11 @@
 
 def test_routes_that_do_not_ask_pay_nothing():
     day = Crossing(seed=6)
-    calls = day.fleet.proxies[0].board.callNo
+    calls = day.fleet.proxies[0].board.call_no
     assert day.answer(day.send(0, "k", path="/plain/x")) == "200"
-    assert day.fleet.proxies[0].board.callNo == calls
+    assert day.fleet.proxies[0].board.call_no == calls
     assert day.answer(day.send(0, "k", session=None)) == "200"
-    assert day.fleet.proxies[0].board.callNo == calls
+    assert day.fleet.proxies[0].board.call_no == calls
     fleet = Fleet(6, 1)
     plain = {**CONFIG, "routes": [route("/e/", "effectful", affinity=None)]}
     assert fleet.insist([0], "replace", json.dumps(plain), 20000)[0] == 200
@@ -191,10 +191,10 @@
             if name.startswith("a,b|") and group.records:
                 assert registry.membership.me.region in ("a", "b")
     groups = day.fleet.proxies[0].relay.digest.sessions
-    regionOf = {r.board.address: r.membership.me.region for r in day.fleet.registries.values()}
+    region_of = {r.board.address: r.membership.me.region for r in day.fleet.registries.values()}
     for name, (_, members, _) in groups.items():
         assert len(members) == 3
-        assert {regionOf[address] for address in members} == ({"a", "b"} if name.startswith("a,b") else {"a", "b", "c"})
+        assert {region_of[address] for address in members} == ({"a", "b"} if name.startswith("a,b") else {"a", "b", "c"})
 
 
 def test_reads_never_wait_and_keep_to_the_sessions_endpoint():
@@ -204,55 +204,55 @@
     assert day.answer(day.send(0, None, path="/p/x", body=b"")) == "200"
     day.world.cut([f"10.0.1.{n}" for n in range(1, 7)], [f"10.0.0.{n}" for n in range(1, 7)])
     for _ in range(5):
-        startMs = day.world.env.now
+        start_ms = day.world.env.now
         assert day.answer(day.send(0, None, path="/p/x", body=b"")) == "200"
-        assert day.world.env.now - startMs < 200
+        assert day.world.env.now - start_ms < 200
         day.world.run(300)
     assert len(set(served)) <= 2
-    startMs = day.world.env.now
-    assert day.answer(day.send(3, "k9")) == "503" and day.world.env.now - startMs < 900
+    start_ms = day.world.env.now
+    assert day.answer(day.send(3, "k9")) == "503" and day.world.env.now - start_ms < 900
     assert day.ran("k9") == 0
 
 
-def killProxy(day, number):
+def kill_proxy(day, number):
     day.world.kill(day.fleet.proxies[number].context)
-    day.world.later(1500, day.fleet.startProxy, number)
+    day.world.later(1500, day.fleet.start_proxy, number)
 
 
-def freezeProxy(day, number):
+def freeze_proxy(day, number):
     day.world.freeze(day.fleet.proxies[number].context, 1500)
 
 
-def cutProxy(day, number):
+def cut_proxy(day, number):
     day.world.cut([f"10.0.1.{number + 1}"], [f"10.0.0.{n}" for n in range(1, 7)])
     day.world.later(2000, day.world.join)
 
 
-def killCore(day, number):
-    day.fleet.killCore(number % 6)
-    day.world.later(1500, day.fleet.startCore, number % 6, False)
+def kill_core(day, number):
+    day.fleet.kill_core(number % 6)
+    day.world.later(1500, day.fleet.start_core, number % 6, False)
 
 
-def wipeCore(day, number):
-    day.fleet.killCore(number % 6)
+def wipe_core(day, number):
+    day.fleet.kill_core(number % 6)
     day.fleet.wipe(number % 6)
-    day.world.later(1500, day.fleet.startCore, number % 6, False)
+    day.world.later(1500, day.fleet.start_core, number % 6, False)
 
 
-def loseRegion(day, number):
+def lose_region(day, number):
     for core in (number % 3, number % 3 + 3):
-        day.fleet.killCore(core)
-        day.world.later(2500, day.fleet.startCore, core, False)
-        killProxy(day, core)
+        day.fleet.kill_core(core)
+        day.world.later(2500, day.fleet.start_core, core, False)
+        kill_proxy(day, core)
 
 
-def endProxy(day, number):
+def end_proxy(day, number):
     day.fleet.proxies[number].end()
-    day.world.later(6000, day.fleet.startProxy, number)
+    day.world.later(6000, day.fleet.start_proxy, number)
 
 
-STRIKES = {"none": None, "proxies killed": killProxy, "proxies frozen": freezeProxy, "proxies cut": cutProxy,
-           "core killed": killCore, "core wiped": wipeCore, "regions lost": loseRegion, "proxies end": endProxy}
+STRIKES = {"none": None, "proxies killed": kill_proxy, "proxies frozen": freeze_proxy, "proxies cut": cut_proxy,
+           "core killed": kill_core, "core wiped": wipe_core, "regions lost": lose_region, "proxies end": end_proxy}
 
 
 def crossings(strike, seed, noting=True, sessions=20, seconds=9):
@@ -296,10 +296,10 @@
         if client is None or not proxy.ready():
             return
         state["reads"] += 1
-        sentMs = day.world.env.now
+        sent_ms = day.world.env.now
 
         def look():
-            struck = not proxy.context.alive or day.world.frozen.get(proxy.context, 0) > sentMs or proxy.ending
+            struck = not proxy.context.alive or day.world.frozen.get(proxy.context, 0) > sent_ms or proxy.ending
             if client.statuses() != ["200"] and not struck:
                 state["unread"] += 1
         day.world.later(1400, look)
@@ -330,7 +330,7 @@
 
 
 def test_without_noting_the_same_crossings_run_keys_twice():
-    got = crossings(killProxy, 21, noting=False)
+    got = crossings(kill_proxy, 21, noting=False)
     assert got["doubles"] > 10, got
 
 
@@ -361,13 +361,13 @@
     after = tend(settled, [], [r for r in registries if r.address != lost], {lost})
     assert after["|0"][0] == 2 and after["|0"][2] == settled["|0"][1]
     assert lost not in after["|0"][1] and len(set(after["|0"][1]) & set(settled["|0"][1])) == 2
-    assert chooseMembers("|1", registries[:2], ()) and digestOf(b"POST", b"/a", b"x") != digestOf(b"POST", b"/a", b"y")
+    assert choose_members("|1", registries[:2], ()) and digest_of(b"POST", b"/a", b"x") != digest_of(b"POST", b"/a", b"y")
 
 
 def test_the_log_survives_torn_batches_and_is_written_whole_in_time(tmp_path):
     log = SessionLog(Folder(str(tmp_path)))
     for number in range(70):
-        log.append([["record", "|0", f"s{number}", number]], log.wantsWhole())
+        log.append([["record", "|0", f"s{number}", number]], log.wants_whole())
     again = SessionLog(Folder(str(tmp_path)))
     rows = again.load()
     assert rows[-1][2] == "s69" and len(rows) < 70
@@ -382,7 +382,7 @@
 @pytest.mark.parametrize("affinity", [{}, {"header": ""}, {"header": "no header"}, {"header": "A: b"}, {"keepS": 5}, "x"])
 def test_affinity_without_a_header_is_an_invalid_configuration(affinity):
     text = json.dumps({**CONFIG, "routes": [route("/e/", "effectful", affinity=affinity)]})
-    checked = readConfig(text)
+    checked = read_config(text)
     assert checked.is_error() and checked.error.status == 400 and "affinity" in checked.error.reason
 
 
@@ -391,8 +391,8 @@
     assert day.answer(day.send(0, "k1", session="fan-7")) == "200"
     assert day.answer(day.send(1, "k2", session="fan-7")) == "200"
     shown = []
-    day.fleet.registries[2].desk.showSession("fan-7", lambda status, body: shown.append((status, body)))
-    day.fleet.registries[2].desk.showSession("nobody", lambda status, body: shown.append((status, body)))
+    day.fleet.registries[2].desk.show_session("fan-7", lambda status, body: shown.append((status, body)))
+    day.fleet.registries[2].desk.show_session("nobody", lambda status, body: shown.append((status, body)))
     assert day.world.until(lambda: len(shown) == 2, 3000)
     assert sorted(status for status, _ in shown) == [200, 404]
     record = next(body for status, body in shown if status == 200)["records"][0]
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -34,9 +34,9 @@
     saved(after, SECOND)
     fresh = sorted(set(os.listdir(after)) - set(os.listdir(before)))
     assert fresh == ["register-2.dat", "register-2.dir"]
-    datBytes, dirBytes = ((after / name).read_bytes() for name in fresh)
+    dat_bytes, dir_bytes = ((after / name).read_bytes() for name in fresh)
     seen = set()
-    for number, (dat, index) in enumerate((a, b) for a in states(datBytes) for b in states(dirBytes)):
+    for number, (dat, index) in enumerate((a, b) for a in states(dat_bytes) for b in states(dir_bytes)):
         folder = tmp_path / f"torn-{number}"
         shutil.copytree(before, folder)
         for name, data in zip(fresh, (dat, index)):
@@ -44,7 +44,7 @@
                 (folder / name).write_bytes(data)
         record = DiskRegister(Folder(str(folder))).load()
         assert record in (FIRST, SECOND)
-        if dat == datBytes and index == dirBytes:
+        if dat == dat_bytes and index == dir_bytes:
             assert record == SECOND
         seen.add(record)
         register = saved(folder, b"third")
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -43,7 +43,7 @@
 """
 
 
-def freePorts(count):
+def free_ports(count):
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
@@ -62,9 +62,9 @@
                                         stderr=subprocess.PIPE)
         self.text = b""
 
-    def logs(self, word, limitS=60):
+    def logs(self, word, limit_s=60):
         while word.encode() not in self.text:
-            assert select.select([self.process.stderr], [], [], limitS)[0], f"no '{word}' in: {self.text.decode()}"
+            assert select.select([self.process.stderr], [], [], limit_s)[0], f"no '{word}' in: {self.text.decode()}"
             data = os.read(self.process.stderr.fileno(), 65536)
             assert data, f"ended before '{word}': {self.text.decode()}"
             self.text += data
@@ -87,7 +87,7 @@
 
 
 def test_real_daemons_form_take_a_configuration_and_are_found_clean(tmp_path, capsys):
-    control, directory, front, ready, inner = freePorts(5)
+    control, directory, front, ready, inner = free_ports(5)
     if inner > 65000:
         inner -= 600
     files = {}
@@ -125,7 +125,7 @@
         assert all(row["where"] == "s" for row in found), found
         assert app(["rehearse", "a", "--control", f"127.0.0.1:{control}"]) == 2
         assert "no proxy has reported jobs yet" in capsys.readouterr().err
-        partnersAndSessions(tmp_path, capsys, f"127.0.0.1:{control}")
+        partners_and_sessions(tmp_path, capsys, f"127.0.0.1:{control}")
 
         files["proxy"].write_text("nonsense")
         programs["proxy"].process.send_signal(signal.SIGHUP)
@@ -139,7 +139,7 @@
             program.end()
 
 
-def partnersAndSessions(tmp_path, capsys, control):
+def partners_and_sessions(tmp_path, capsys, control):
     """The commands about partners and sessions, as an operator would try them."""
     offer = tmp_path / "offer.json"
     offer.write_text(json.dumps({"version": "r1", "routes": [
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -14,7 +14,7 @@
     """Keeps every report it read, with when, by whom and under which fence; answers as `mode` says."""
 
     def __init__(self, world):
-        self.world, self.mode, self.slowMs, self.alive = world, "well", 20, True
+        self.world, self.mode, self.slow_ms, self.alive = world, "well", 20, True
         self.calls, self.highest = [], 0
         world.regions[PLATFORM[0]] = "a"
         self.open()
@@ -36,16 +36,16 @@
             assert windows.setdefault(body["windowNo"], call["body"]) == call["body"], "two reports for one window"
         return {window: json.loads(text)["counts"] for window, text in windows.items()}
 
-    def check(self, leaseMs=3000):
+    def check(self, lease_ms=3000):
         """The rules: one report a window, one holder a fence, no holder back within the lease after another."""
         holders = {}
         for call in self.calls:
             assert holders.setdefault(call["fence"], call["holder"]) == call["holder"], "a fence with two holders"
         acts = [(call["atMs"], call["holder"]) for call in self.taken()]
-        for at, (laterMs, holder) in enumerate(acts):
+        for at, (later_ms, holder) in enumerate(acts):
             others = [ms for ms, who in acts[:at] if who != holder]
             mine = [ms for ms, who in acts[:at] if who == holder and others and ms < max(others)]
-            assert not mine or laterMs - max(mine) > leaseMs, "A, B, A within the lease"
+            assert not mine or later_ms - max(mine) > lease_ms, "A, B, A within the lease"
         return self.counts()
 
 
@@ -70,26 +70,26 @@
         platform.calls.append({"atMs": platform.world.env.now, "holder": fields[b"duty-holder"].decode(),
                                "fence": fence, "body": body.decode(), "status": status})
         if platform.mode != "silent":
-            platform.world.later(platform.slowMs, self.transport.write,
+            platform.world.later(platform.slow_ms, self.transport.write,
                                  f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n".encode())
 
 
 class Days:
     """A fleet with duties, a platform, and jobs that begin at a steady pace at every proxy."""
 
-    def __init__(self, seed=1, proxies=3, everyMs=200):
+    def __init__(self, seed=1, proxies=3, every_ms=200):
         self.fleet = Fleet(seed, proxies, DUTIES)
         self.world = self.fleet.world
         self.platform = Platform(self.world)
-        self.truth, self.everyMs, self.busy = {}, everyMs, True
+        self.truth, self.every_ms, self.busy = {}, every_ms, True
         assert self.world.until(lambda: self.holder() is not None and self.fleet.formed(12 + proxies), 20000)
-        assert self.world.until(lambda: all(proxy.relay.counts.offsetMs for proxy in self.fleet.proxies.values()), 9000)
+        assert self.world.until(lambda: all(proxy.relay.counts.offset_ms for proxy in self.fleet.proxies.values()), 9000)
         self.world.later(0, self.jobs)
 
     def jobs(self):
         """Every proxy that runs begins one job for each of two tenants."""
         if self.busy:
-            self.world.later(self.everyMs, self.jobs)
+            self.world.later(self.every_ms, self.jobs)
         for proxy in self.fleet.proxies.values():
             if proxy.context.alive:
                 for tenant in ("co-op", "trust"):
@@ -118,9 +118,9 @@
             for tenant, number in self.truth[window].items():
                 assert abs(counts[window].get(tenant, 0) - number) <= max(3, share * number), (window, counts[window])
 
-    def killMachine(self, number):
-        self.fleet.killCore(number)
-        self.world.later(1500, self.fleet.startCore, number, False)
+    def kill_machine(self, number):
+        self.fleet.kill_core(number)
+        self.world.later(1500, self.fleet.start_core, number, False)
 
 
 def test_calm_days_cost_one_call_a_window_and_count_right():
@@ -133,7 +133,7 @@
 
 
 def kill(days, number):
-    days.killMachine(number)
+    days.kill_machine(number)
 
 
 def freeze(days, number):
@@ -141,15 +141,15 @@
     days.world.freeze(days.fleet.stores[number].context, 6000)
 
 
-def cutOff(days, number):
+def cut_off(days, number):
     ip = f"10.0.0.{number + 1}"
     days.world.cut([ip], [f"10.0.0.{n}" for n in range(1, 7)])
     days.world.later(7000, days.world.join)
 
 
-def leaveInOrder(days, number):
+def leave_in_order(days, number):
     days.fleet.registries[number].end()
-    days.world.later(4000, days.fleet.startRegistry, number)
+    days.world.later(4000, days.fleet.start_registry, number)
 
 
 STEPS = {
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-@pytest.mark.parametrize("strike", [kill, freeze, cutOff, leaveInOrder])
+@pytest.mark.parametrize("strike", [kill, freeze, cut_off, leave_in_order])
 def test_holder_lost_at_every_step_leaves_one_report_a_window(step, strike):
     days = Days(seed=3)
     days.world.run(9000)
@@ -172,7 +172,7 @@
     counts = days.platform.check()
     days.near(counts)
     assert days.duty().chosen.fence > fence
-    assert days.holder() != first or strike is leaveInOrder
+    assert days.holder() != first or strike is leave_in_order
 
 
 def test_slow_call_that_arrives_after_the_successors_is_fenced_off():
@@ -184,7 +184,7 @@
     assert days.world.until(lambda: days.holder() is not None and days.duty().calling is not None, 15000, 1)
     days.world.delay = lambda one, other: 9000.0 if (one, other) == (ip, PLATFORM[0]) else held(one, other)
     days.world.run(300)
-    days.killMachine(first)
+    days.kill_machine(first)
     days.world.run(30000)
     days.near(days.platform.check())
     late = [call for call in days.platform.calls if call["status"] == 409]
@@ -195,7 +195,7 @@
     days = Days(seed=5)
     days.world.run(6000)
     first = days.holder()
-    days.fleet.killCore(first)
+    days.fleet.kill_core(first)
     for _ in range(4):
         for number, registry in days.fleet.registries.items():
             if registry.context.alive:
@@ -215,13 +215,13 @@
     if mode == "shut":
         days.platform.shut()
     elif mode == "slow":
-        days.platform.slowMs = 5000
+        days.platform.slow_ms = 5000
     else:
         days.platform.mode = mode
     before = len(days.platform.calls)
     days.world.run(12000)
     assert len(days.platform.calls) - before < 12
-    days.platform.mode, days.platform.slowMs = "well", 20
+    days.platform.mode, days.platform.slow_ms = "well", 20
     days.platform.open()
     days.world.run(16000)
     days.near(days.platform.check())
@@ -235,10 +235,10 @@
     fence = days.duty().chosen.fence
     through = days.duty().chosen.through
     for number in range(6):
-        days.fleet.killCore(number)
+        days.fleet.kill_core(number)
     days.world.run(500)
     for number in range(6):
-        days.fleet.startCore(number, False)
+        days.fleet.start_core(number, False)
     assert days.world.until(lambda: days.holder() is not None, 15000)
     assert days.duty().chosen.fence > fence and days.duty().chosen.through >= through
     days.world.run(25000)
@@ -252,11 +252,11 @@
     group = days.duty().chosen.group
     lost = [int(address.split(":")[0].split(".")[-1]) - 1 for address in group[:2]]
     for number in range(6):
-        days.fleet.killCore(number)
+        days.fleet.kill_core(number)
     for number in lost:
         days.fleet.wipe(number)
     for number in range(6):
-        days.fleet.startCore(number, False)
+        days.fleet.start_core(number, False)
     assert days.world.until(lambda: days.holder() is not None, 20000)
     assert days.duty().chosen.fence > max(fences)
     days.world.run(20000)
@@ -272,11 +272,11 @@
     many = [number for number in range(1, 7) if number not in few]
     days.world.cut([f"10.0.0.{n}" for n in few], [f"10.0.0.{n}" for n in many])
     days.world.run(2500)
-    cutMs = days.world.env.now
+    cut_ms = days.world.env.now
     days.world.run(20000)
     names = {f"node-10.0.0.{number}" for number in few}
-    assert not [call for call in days.platform.calls if call["atMs"] > cutMs and call["holder"] in names]
-    assert [call for call in days.platform.taken() if call["atMs"] > cutMs]
+    assert not [call for call in days.platform.calls if call["atMs"] > cut_ms and call["holder"] in names]
+    assert [call for call in days.platform.taken() if call["atMs"] > cut_ms]
     days.platform.check()
 
 
@@ -297,7 +297,7 @@
         proxy = days.fleet.proxies[1]
         days.world.kill(proxy.context)
         days.world.run(300)
-        days.fleet.startProxy(1)
+        days.fleet.start_proxy(1)
         days.world.run(4000)
     days.world.run(16000)
     counts = days.platform.check()
@@ -311,7 +311,7 @@
     days.world.run(9000)
     for number in (0, 1, 2):
         feeder = int(days.fleet.proxies[number].feeder.split(":")[0].split(".")[-1]) - 1
-        days.fleet.proxies[number].changeFeeder("the test wants another")
+        days.fleet.proxies[number].change_feeder("the test wants another")
         days.fleet.proxies[number].shunned[days.fleet.registries[feeder].board.address] = 1e12
         days.world.run(1500)
     days.world.run(16000)
@@ -323,9 +323,9 @@
     days = Days(seed=13)
     days.world.run(9000)
     for gone, comer in ((days.holder(), 6), (1 if days.holder() != 1 else 2, 7)):
-        days.fleet.killCore(gone)
+        days.fleet.kill_core(gone)
         days.world.run(2000)
-        days.fleet.startCore(comer, False)
+        days.fleet.start_core(comer, False)
         leaver = f"10.0.0.{gone + 1}:"
 
         def done():
@@ -339,7 +339,7 @@
     group = days.fleet.stores[alive[0]].group()
     voters = [n for n in alive if any(f"10.0.0.{n + 1}:" in address for address in group)]
     for number in voters[:2]:
-        days.fleet.killCore(number)
+        days.fleet.kill_core(number)
     rest = [n for n in alive if n not in voters[:2]]
     assert days.fleet.insist(rest, "evacuate", "c1")[0] == 200
     days.world.run(20000)
@@ -354,13 +354,13 @@
     stand = days.fleet.registries[days.holder()].desk.stand()["duties"]["usage_report"]
     assert stand["holder"] == f"node-10.0.0.{days.holder() + 1}" and stand["holding"] and stand["fence"] >= 1
     assert stand["overdue"] and stand["pending"] and stand["sent"]
-    from stagevale.doctoring import standFaults
+    from stagevale.doctoring import stand_faults
     whole = days.fleet.registries[days.holder()].desk.stand()
-    assert any("overdue" in finding.fault for finding in standFaults("here", whole))
+    assert any("overdue" in finding.fault for finding in stand_faults("here", whole))
     days.platform.open()
     days.world.run(8000)
     assert not any("overdue" in finding.fault for finding in
-                   standFaults("here", days.fleet.registries[days.holder()].desk.stand()))
+                   stand_faults("here", days.fleet.registries[days.holder()].desk.stand()))
 
 
 def test_unused_duties_cost_nothing():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -2,10 +2,10 @@
 from approval import approve
 from simworld import Fleet
 from stagevale.membership import clocks
-from stagevale.membership.state import (COMPLETE, DOWN, JOINING, REMOVED, UP, GossipState, Member, Move, fromMessage,
+from stagevale.membership.state import (COMPLETE, DOWN, JOINING, REMOVED, UP, GossipState, Member, Move, from_message,
                                         merged)
 from stagevale.membership.suspicion import THRESHOLD, Suspicion
-from stagevale.placement import PARTS, groupFor, partOf, place
+from stagevale.placement import PARTS, group_for, part_of, place
 
 
 def member(number, state=UP, region="a", uid=1, generation=0, program="registry"):
@@ -30,19 +30,19 @@
     assert here.message()[2:] == there.message()[2:]
     assert {a: m.fields() for a, m in here.members.items()} == {a: m.fields() for a, m in there.members.items()}
     assert here.members["10.0.0.1:7200"].uid == 9 and here.moves[0].status == COMPLETE
-    assert fromMessage(here.message()).mark == here.mark
+    assert from_message(here.message()).mark == here.mark
 
 
 def test_suspicion_rises_with_silence_only():
     suspicion = Suspicion(0, 1000)
-    nowMs = 0
+    now_ms = 0
     for _ in range(20):
-        nowMs += 1000
-        suspicion.heard(nowMs)
-    assert suspicion.phi(nowMs + 900) < 1
-    assert suspicion.phi(nowMs + 6000) > THRESHOLD
-    suspicion.heard(nowMs + 6000)
-    assert suspicion.phi(nowMs + 6100) < 1
+        now_ms += 1000
+        suspicion.heard(now_ms)
+    assert suspicion.phi(now_ms + 900) < 1
+    assert suspicion.phi(now_ms + 6000) > THRESHOLD
+    suspicion.heard(now_ms + 6000)
+    assert suspicion.phi(now_ms + 6100) < 1
 
 
 def test_placement_moves_a_part_from_a_living_member_by_handoff_and_from_a_dead_one_at_once():
@@ -79,11 +79,11 @@
     fleet = Fleet(4)
     assert fleet.world.until(lambda: fleet.formed(12), 20000)
     before = fleet.registries[1].membership.state.members["10.0.0.6:7200"].uid
-    fleet.killCore(5)
+    fleet.kill_core(5)
     watcher = fleet.registries[1].membership
     assert fleet.world.until(lambda: watcher.state.members["10.0.0.6:7200"].state == DOWN, 30000)
     assert fleet.world.until(watcher.converged, 10000)
-    fleet.startCore(5, False)
+    fleet.start_core(5, False)
     assert fleet.world.until(lambda: fleet.formed(12), 30000)
     after = watcher.state.members["10.0.0.6:7200"]
     assert after.uid != before and after.generation > 0
@@ -118,9 +118,9 @@
     assert fleet.world.until(lambda: fleet.formed(12), 20000)
     assert fleet.world.until(lambda: len(fleet.stores[5].colleagues) >= 5, 5000)
     for number in (0, 1, 2):
-        fleet.killCore(number)
+        fleet.kill_core(number)
     fleet.world.kill(fleet.stores[5].context)
-    fleet.startStore(5, False)
+    fleet.start_store(5, False)
     assert fleet.world.until(lambda: "10.0.0.5:7200" in fleet.stores[5].membership.state.members, 15000)
 
 
@@ -146,10 +146,10 @@
 
 
 def test_part_of_is_stable():
-    assert partOf("blockbook") == partOf("blockbook")
-    assert len({partOf(f"service-{n}") for n in range(100)}) == len(PARTS)
+    assert part_of("blockbook") == part_of("blockbook")
+    assert len({part_of(f"service-{n}") for n in range(100)}) == len(PARTS)
     registries = [member(n, region="abc"[n % 3]) for n in range(1, 7)]
-    assert groupFor("part-1", registries) == groupFor("part-1", list(reversed(registries)))
+    assert group_for("part-1", registries) == group_for("part-1", list(reversed(registries)))
 
 
 def test_states_that_differ_only_in_a_removed_member_settle():
@@ -162,7 +162,7 @@
     watcher = fleet.registries[2].membership
     assert fleet.world.until(lambda: watcher.state.members["10.0.1.1:7200"].state == REMOVED, 20000)
     fleet.world.kill(proxy.context)
-    fleet.startProxy(0)
+    fleet.start_proxy(0)
     assert fleet.world.until(lambda: fleet.formed(14), 20000)
     sent = []
     for daemon in fleet.daemons():
@@ -178,13 +178,13 @@
     comer = member(99, JOINING, uid=5, generation=2)
     gone = member(99, REMOVED, uid=4, generation=1)
     mine = one.state
-    one.state = GossipState(mine.clock, {**mine.members, gone.address: gone}, mine.tableEpoch, mine.table, mine.moves)
-    theirs = GossipState({**mine.clock, comer.address: 1}, {**mine.members, comer.address: comer}, mine.tableEpoch,
+    one.state = GossipState(mine.clock, {**mine.members, gone.address: gone}, mine.table_epoch, mine.table, mine.moves)
+    theirs = GossipState({**mine.clock, comer.address: 1}, {**mine.members, comer.address: comer}, mine.table_epoch,
                          mine.table, mine.moves)
     sent = []
     one.transport = Counting(one.transport, sent)
     for _ in range(5):
-        one.heardState("10.0.0.2:7200", theirs)
+        one.heard_state("10.0.0.2:7200", theirs)
     assert one.state.members[comer.address].uid == 5
     assert len(sent) <= 1
 
@@ -196,14 +196,14 @@
         fleet = Fleet(seed, 3)
         assert fleet.world.until(lambda: fleet.formed(15), 20000)
         fleet.world.run(4000)
-        startMs = fleet.world.env.now
-        for kill, start in ((fleet.registries[0].context, lambda: fleet.startRegistry(0, False)),
-                            (fleet.proxies[1].context, lambda: fleet.startProxy(1))):
+        start_ms = fleet.world.env.now
+        for kill, start in ((fleet.registries[0].context, lambda: fleet.start_registry(0, False)),
+                            (fleet.proxies[1].context, lambda: fleet.start_proxy(1))):
             fleet.world.kill(kill)
             fleet.world.run(800)
             start()
         fleet.world.run(6000)
-        late = [line for line in fleet.world.lines if float(line.split()[0]) >= startMs
+        late = [line for line in fleet.world.lines if float(line.split()[0]) >= start_ms
                 and ("10.0.0.1:7200 is suspected" in line or "10.0.1.2:7200 is suspected" in line)]
         assert len(late) <= 2, late
 
@@ -227,7 +227,7 @@
     fleet = Fleet(4, 3)
     assert fleet.world.until(lambda: fleet.formed(15), 20000)
     membership = fleet.registries[0].membership
-    assert membership.packedState() is membership.packedState()
-    before = membership.packedState()
+    assert membership.packed_state() is membership.packed_state()
+    before = membership.packed_state()
     membership.make(membership.state.changed(membership.me.address))
-    assert membership.packedState() is not before
+    assert membership.packed_state() is not before
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -5,10 +5,10 @@
 from hypothesis import given, settings, strategies as st
 
 from simworld import Fleet
-from standins import Endpoint, clientAt, good, job
+from standins import Endpoint, client_at, good, job
 from stagevale.leases import wait_ms
-from stagevale.partners import mergedTable
-from stagevale.partners.checking import readOffer
+from stagevale.partners import merged_table
+from stagevale.partners.checking import read_offer
 
 AREAS = {"a1": "a", "b1": "b", "c1": "c"}
 CONFIG = {"version": "r1", "parentVersion": 0,
@@ -54,7 +54,7 @@
     kept = {name: (1, written(*parts)) for name, parts in offers.items()}
     shuffled = list(kept.items())
     luck.shuffle(shuffled)
-    one, other = mergedTable(CONFIG, kept), mergedTable(CONFIG, dict(shuffled))
+    one, other = merged_table(CONFIG, kept), merged_table(CONFIG, dict(shuffled))
     assert one.mark == other.mark and [r.fields() for r in one.rows] == [r.fields() for r in other.rows]
     assert all(r.reason for r in one.rows)
 
@@ -62,7 +62,7 @@
 @given(OFFERS, PREFIXES, st.sampled_from(sorted(AREAS)), st.sampled_from(["", "buyer", "desk", "p2"]))
 @settings(max_examples=300, deadline=None, database=None, derandomize=True)
 def test_no_job_is_taken_on_a_withheld_path_nor_slips_to_a_wider_route(offers, prefix, area, tenant):
-    table = mergedTable(CONFIG, {name: (1, written(*parts)) for name, parts in offers.items()})
+    table = merged_table(CONFIG, {name: (1, written(*parts)) for name, parts in offers.items()})
     path = prefix + "job"
     won = table.find("h.example", path, area, AREAS[area], tenant)
     if won is None:
@@ -77,7 +77,7 @@
 
 
 def test_every_row_says_what_kept_or_dropped_it():
-    table = mergedTable(CONFIG, {
+    table = merged_table(CONFIG, {
         "bee": (4, offer(4, [row("/own/"), row("/w/"), row("/w/x/"), row("/n/", service="none")],
                          [restriction("closed", "/w/x/", {"everybody": True}),
                           restriction("not-b", "/w/", {"regions": ["b"]}, variant="effectful")])),
@@ -107,7 +107,7 @@
     (offer(1, [row("/w/")], [{"name": "x", "withholds": {"pat": "/w/"}, "from": {"everybody": True}}]), "withholds"),
     (offer("x", [row("/w/")]), "version")])
 def test_bad_offers_name_the_field(text, field):
-    checked = readOffer("bee", text, CONFIG, {}, AREAS)
+    checked = read_offer("bee", text, CONFIG, {}, AREAS)
     assert checked.is_error() and checked.error.status == 400 and field in checked.error.reason
 
 
@@ -123,14 +123,14 @@
         for place, area in enumerate(("a1", "b1", "c1")):
             endpoint = Endpoint(self.world, place + 1, self.run, area)
             life = endpoint.life()
-            self.fleet.registries[place].desk.takeIn(life, lambda status, body: None)
+            self.fleet.registries[place].desk.take_in(life, lambda status, body: None)
             self.beat(place, endpoint, 2)
         assert self.world.until(lambda: all(len(p.targets) == 3 for p in self.fleet.proxies.values()), 5000)
 
     def beat(self, place, endpoint, seq):
         self.world.later(1500, self.beat, place, endpoint, seq + 1)
         if self.fleet.registries[place].context.alive:
-            self.fleet.registries[place].desk.takeIn(endpoint.life(seq=seq), lambda status, body: None)
+            self.fleet.registries[place].desk.take_in(endpoint.life(seq=seq), lambda status, body: None)
 
     def run(self, endpoint, fields, body):
         self.arrivals.append((self.world.env.now, endpoint.heads[-1].split()[1], fields[b"attempt-id"].decode()))
@@ -139,7 +139,7 @@
     def send(self, proxy, path, more=b"Authorization: Bearer k1\r\n"):
         self.number += 1
         ip = f"10.0.1.{proxy + 1}"
-        client = clientAt(self.world, ip)
+        client = client_at(self.world, ip)
         if client is None:
             return None
         client.transport.write(job(path, f"j{self.number}", "POST", b"crate", more=more)
@@ -156,36 +156,36 @@
     def offer(self, version, routes, restrictions=(), parent=0, at=(0, 1, 2, 3, 4, 5), name="bee"):
         return self.fleet.insist(list(at), "offer", f"{name}\n" + offer(version, routes, restrictions, parent), 30000)
 
-    def ran(self, sinceMs, path="/w/x/"):
-        return [entry for entry in self.arrivals if entry[0] > sinceMs and entry[1].startswith(path)]
+    def ran(self, since_ms, path="/w/x/"):
+        return [entry for entry in self.arrivals if entry[0] > since_ms and entry[1].startswith(path)]
 
 
 CLOSED = restriction("closed", "/w/x/", {"everybody": True})
 
 
-def cutProxy(yard):
+def cut_proxy(yard):
     yard.world.cut(["10.0.1.1"], [f"10.0.0.{n}" for n in range(1, 7)])
 
 
-def freezeProxy(yard):
+def freeze_proxy(yard):
     yard.world.freeze(yard.fleet.proxies[0].context, 2600)
 
 
-def restartProxy(yard):
+def restart_proxy(yard):
     yard.world.kill(yard.fleet.proxies[0].context)
-    yard.world.later(500, yard.fleet.startProxy, 0)
+    yard.world.later(500, yard.fleet.start_proxy, 0)
 
 
-def killFeeder(yard):
+def kill_feeder(yard):
     number = int(yard.fleet.proxies[0].feeder.split(":")[0].split(".")[-1]) - 1
-    yard.fleet.killCore(number)
+    yard.fleet.kill_core(number)
 
 
 def nothing(yard):
     pass
 
 
-@pytest.mark.parametrize("strike", [nothing, cutProxy, freezeProxy, restartProxy, killFeeder])
+@pytest.mark.parametrize("strike", [nothing, cut_proxy, freeze_proxy, restart_proxy, kill_feeder])
 def test_nothing_runs_on_a_withheld_path_once_the_narrowing_is_acknowledged(strike):
     yard = Yard(seed=2)
     assert yard.offer(1, [row("/w/"), row("/w/x/")])[0] == 200
@@ -196,9 +196,9 @@
     strike(yard)
     yard.world.run(60)
     assert yard.offer(2, [row("/w/"), row("/w/x/")], [CLOSED], 1)[0] == 200
-    ackMs = yard.world.env.now
+    ack_ms = yard.world.env.now
     yard.world.run(6000)
-    assert not yard.ran(ackMs + 1)
+    assert not yard.ran(ack_ms + 1)
     runs = [id for _, _, id in yard.arrivals]
     assert len(runs) == len(set(runs))
     yard.world.join()
@@ -213,13 +213,13 @@
     yard.world.run(2500)
     yard.flow()
     yard.world.run(500)
-    cutProxy(yard)
-    startMs = yard.world.env.now
+    cut_proxy(yard)
+    start_ms = yard.world.env.now
     assert yard.fleet.insist([0, 1, 2, 3, 4, 5], "withdraw", "bee", 30000)[0] == 200
-    ackMs = yard.world.env.now
-    assert ackMs - startMs >= wait_ms(yard.fleet.proxies[0].context.settings.bounds) * 0.9
+    ack_ms = yard.world.env.now
+    assert ack_ms - start_ms >= wait_ms(yard.fleet.proxies[0].context.settings.bounds) * 0.9
     yard.world.run(3000)
-    assert not yard.ran(ackMs + 1)
+    assert not yard.ran(ack_ms + 1)
     clients = [yard.send(0, "/w/x/late"), yard.send(0, "/own/now")]
     yard.world.run(800)
     assert clients[0].statuses()[:1] == ["503"] and b"Retry-After" in clients[0].got
@@ -233,7 +233,7 @@
     assert yard.offer(1, [row("/w/x/")])[0] == 200
     yard.world.run(2500)
     yard.flow()
-    cutProxy(yard)
+    cut_proxy(yard)
     owner = yard.fleet.owners()[0] - 1
     asked = (owner + 1) % 6
     payload = "bee\n" + offer(2, [row("/z/")], [], 1)
@@ -242,12 +242,12 @@
     others = [keeper for number, keeper in yard.fleet.stores.items() if number != owner]
     assert yard.world.until(lambda: any(k.accepted and k.accepted.offers.get("bee", (0,))[0] == 2 for k in others),
                             3000, 1)
-    yard.fleet.killCore(owner)
+    yard.fleet.kill_core(owner)
     alive = [number for number in range(6) if number != owner]
     assert yard.fleet.insist(alive, "offer", payload, 30000)[0] == 200
-    ackMs = yard.world.env.now
+    ack_ms = yard.world.env.now
     yard.world.run(4000)
-    assert not yard.ran(ackMs + 1)
+    assert not yard.ran(ack_ms + 1)
 
 
 def test_versions_of_offers_go_like_those_of_configurations():
@@ -264,9 +264,9 @@
     assert yard.world.until(lambda: len(answers) == 2, 9000)
     assert sorted(status for _, status in answers) == [200, 412]
     for number in range(6):
-        yard.fleet.killCore(number)
+        yard.fleet.kill_core(number)
     for number in range(6):
-        yard.fleet.startCore(number, False)
+        yard.fleet.start_core(number, False)
     status, text = yard.fleet.insist(range(6), "readOffer", "bee")
     winner = next(path for path, status in answers if status == 200)
     assert status == 200 and json.loads(text)["routes"][0]["pathPrefix"] == winner
@@ -281,7 +281,7 @@
     marks |= {registry.desk.partners.mark for registry in yard.fleet.registries.values()}
     assert len(marks) == 1
     shown = []
-    yard.fleet.registries[0].desk.partnerTable(lambda status, body: shown.append((status, body)))
+    yard.fleet.registries[0].desk.partner_table(lambda status, body: shown.append((status, body)))
     yard.fleet.registries[1].desk.explain({"host": ["h.example"], "path": ["/w/1"], "zone": ["b1"]},
                                           lambda status, body: shown.append((status, body)))
     assert yard.world.until(lambda: len(shown) == 2, 3000)
@@ -301,7 +301,7 @@
     yard.world.cut(["10.0.0.6"], [f"10.0.0.{n}" for n in range(1, 6)])
     yard.world.run(3000)
     shown = []
-    yard.fleet.registries[5].desk.partnerTable(lambda status, body: shown.append((status, body)))
+    yard.fleet.registries[5].desk.partner_table(lambda status, body: shown.append((status, body)))
     assert yard.world.until(lambda: shown, 9000)
     assert shown[0][0] == 503 and "majority" in shown[0][1]["error"]
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -4,7 +4,7 @@
 import pytest
 
 from standins import Scene, job
-from stagevale.balancing.policies import PROBLEMS_BORNE, Policy, PolicyProblem, loadPolicy
+from stagevale.balancing.policies import PROBLEMS_BORNE, Policy, PolicyProblem, load_policy
 
 
 class Quiet:
@@ -54,7 +54,7 @@
     path = tmp_path / "policy.lua"
     path.write_text(source)
     with pytest.raises(PolicyProblem, match=word) as caught:
-        loadPolicy(str(path), Quiet())
+        load_policy(str(path), Quiet())
     assert str(path) in str(caught.value)
 
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -13,7 +13,7 @@
                        "services": [{"name": "s", "maxConns": 10, "warmupS": 3, "coldPerS": 4}]})
 
 
-def formedFleet(seed=1, proxies=0):
+def formed_fleet(seed=1, proxies=0):
     fleet = Fleet(seed, proxies)
     assert fleet.world.until(lambda: len(fleet.owners()) == 1 and fleet.formed(12 + proxies), 20000)
     fleet.world.until(lambda: len(fleet.stores[fleet.owners()[0] - 1].chosen.group) == 5, 20000)
@@ -21,14 +21,14 @@
 
 
 def test_group_grows_to_bear_two_losses():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     group = fleet.stores[fleet.owners()[0] - 1].chosen.group
     assert len(group) == 5
     assert {"10.0.0.1:7201", "10.0.0.2:7201", "10.0.0.3:7201"} < set(group)
 
 
 def test_orders_and_bad_configurations():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     lines = []
     for words, payload in (
             ("first", config(2, 0)), ("same again", config(2, 0)), ("cut short", config(5, 2)[:40]),
@@ -43,7 +43,7 @@
 
 
 def test_two_racing_operators_one_wins():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     answers = []
     for number, host in ((1, "one.example"), (4, "two.example")):
@@ -56,7 +56,7 @@
 
 
 def test_owner_killed_between_accept_and_answer():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     owner = fleet.owners()[0] - 1
     asked = (owner + 1) % 6
@@ -64,7 +64,7 @@
     fleet.registries[asked].desk.order("replace", payload, lambda status, text: None)
     others = [keeper for number, keeper in fleet.stores.items() if number != owner]
     assert fleet.world.until(lambda: any(k.accepted and k.accepted.version == 2 for k in others), 3000, 1)
-    fleet.killCore(owner)
+    fleet.kill_core(owner)
     fleet.wipe(owner)
     alive = [number for number in range(6) if number != owner]
     assert fleet.insist(alive, "replace", payload)[0] == 200
@@ -72,15 +72,15 @@
 
 
 def test_wiped_stores_do_not_vote_before_they_have_learned():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     holders = [n for n, k in fleet.stores.items() if k.accepted and k.accepted.version == 1][:2]
     for number in range(6):
-        fleet.killCore(number)
+        fleet.kill_core(number)
     for number in holders:
         fleet.wipe(number)
     for number in range(6):
-        fleet.startCore(number, False)
+        fleet.start_core(number, False)
     fleet.world.run(100)
     assert all(fleet.stores[number].wiped for number in holders)
     assert json.loads(fleet.insist(range(6), "read", "")[1])["version"] == "r1"
@@ -89,14 +89,14 @@
 
 
 def test_majority_wiped_never_answers_with_less():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     for number in range(6):
-        fleet.killCore(number)
+        fleet.kill_core(number)
     for number in range(4):
         fleet.wipe(number)
     for number in range(6):
-        fleet.startCore(number, False)
+        fleet.start_core(number, False)
     fleet.world.run(8000)
     assert fleet.order(0, "read", "", 1500) in (None, (503, "no owner in time"), (503, "no group known")) or \
         fleet.order(0, "read", "", 1500)[0] == 503
@@ -104,21 +104,21 @@
 
 
 def test_restart_of_all_keeps_what_was_acknowledged():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     assert fleet.insist([1], "evacuate", "b1")[0] == 200
     for number in range(6):
-        fleet.killCore(number)
+        fleet.kill_core(number)
     fleet.world.run(700)
     for number in range(6):
-        fleet.startCore(number, False)
+        fleet.start_core(number, False)
     assert json.loads(fleet.insist(range(6), "read", "")[1])["version"] == "r1"
     assert fleet.world.until(lambda: len(fleet.owners()) == 1, 10000)
     assert fleet.stores[fleet.owners()[0] - 1].chosen.evacuated == ("b1",)
 
 
 def test_owner_cut_off_gives_no_false_refusal():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     owner = fleet.owners()[0] - 1
     ip = f"10.0.0.{owner + 1}"
@@ -135,17 +135,17 @@
 
 
 def test_stalled_disk_of_the_owner_stalls_nobody():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     owner = fleet.owners()[0] - 1
     fleet.world.stalled.add(f"10.0.0.{owner + 1}")
-    startMs = fleet.world.env.now
+    start_ms = fleet.world.env.now
     assert fleet.insist([(owner + 1) % 6], "replace", config(2, 1))[0] == 200
-    assert fleet.world.env.now - startMs < 4000
+    assert fleet.world.env.now - start_ms < 4000
 
 
 def test_even_cut_acknowledges_nothing():
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     group = [int(a.split(":")[0].split(".")[-1]) for a in fleet.stores[fleet.owners()[0] - 1].chosen.group]
     few, many = group[:2], [n for n in range(1, 7) if n not in group[:2]]
@@ -159,29 +159,29 @@
 
 def test_store_that_comes_back_leaves_the_duty_to_the_owner_at_work():
     """It took the duty over at its first read: two rounds of ballots for nothing, seen in inc-20e7."""
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     owner = fleet.owners()[0] - 1
     group = [int(address.split(":")[0].split(".")[-1]) - 1 for address in fleet.stores[owner].chosen.group]
     ballot = fleet.stores[owner].ballot
     for number in group:
         if number != owner:
-            fleet.killCore(number)
+            fleet.kill_core(number)
             fleet.world.run(1500)
-            fleet.startCore(number, False)
+            fleet.start_core(number, False)
             fleet.world.run(2500)
     assert fleet.owners() == [owner + 1] and fleet.stores[owner].ballot == ballot
 
 
 def test_candidate_that_finds_a_newer_group_keeps_the_ballot_under_which_it_was_accepted():
     """It noted the found value under its own, higher ballot: a later owner could have taken it for the newest."""
-    fleet = formedFleet()
+    fleet = formed_fleet()
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     owner = fleet.owners()[0] - 1
     stale = fleet.stores[next(number for number in range(3) if number != owner)]
     newest = fleet.stores[owner].ballot
-    stale.accepted, stale.acceptedBallot = Value(0, 0, "", (), stale.seedStores, {}), (0, "")
+    stale.accepted, stale.accepted_ballot = Value(0, 0, "", (), stale.seed_stores, {}), (0, "")
     stale.elect()
     assert fleet.world.until(lambda: stale.accepted.serial > 0, 3000, 1)
-    assert stale.acceptedBallot <= newest
+    assert stale.accepted_ballot <= newest
     assert json.loads(fleet.insist([0], "read", "")[1])["version"] == "r1"
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -4,13 +4,13 @@
 import pytest
 
 from simworld import Fleet
-from stagevale.configuration.checking import fingerprint, readConfig
+from stagevale.configuration.checking import fingerprint, read_config
 from stagevale.registrations import DRAINING, GONE, READY, Life, Lives
-from stagevale.registrations.calls import Problem, readBeat
+from stagevale.registrations.calls import Problem, read_beat
 from test_register import config
 
 
-def beatOf(id, state="ready", seq=1, cold=0, service="s", area="a1"):
+def beat_of(id, state="ready", seq=1, cold=0, service="s", area="a1"):
     return {"address": "10.9.0.1:80", "details": {"service": service, "zone": area, "slots": 3, "version": "v1"},
             "status": {"state": state, "callSeq": seq, "coldLeftMs": cold}}
 
@@ -23,10 +23,10 @@
     return fleet
 
 
-def tell(fleet, number, call, waitMs=2000):
+def tell(fleet, number, call, wait_ms=2000):
     got = []
     call(fleet.registries[number].desk, lambda status, body: got.append(status))
-    fleet.world.until(lambda: got, waitMs)
+    fleet.world.until(lambda: got, wait_ms)
     return got[0] if got else None
 
 
@@ -37,33 +37,33 @@
 def test_a_beat_at_any_registry_reaches_every_proxy():
     fleet = formed()
     for number in range(6):
-        assert tell(fleet, number, lambda desk, answer: desk.beat(f"i-{number}", beatOf(f"i-{number}"), answer)) == 200
+        assert tell(fleet, number, lambda desk, answer: desk.beat(f"i-{number}", beat_of(f"i-{number}"), answer)) == 200
     assert fleet.world.until(lambda: all(all(known(fleet, f"i-{n}")) for n in range(6)), 2500)
 
 
 def test_drain_is_acknowledged_only_when_the_group_holds_it_and_reaches_the_proxies_in_time():
     fleet = formed()
-    tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beatOf("i-1"), answer))
+    tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beat_of("i-1"), answer))
     assert fleet.world.until(lambda: all(known(fleet, "i-1")), 2500)
-    assert tell(fleet, 4, lambda desk, answer: desk.beat("i-1", beatOf("i-1", "draining", 2), answer)) == 200
-    ackedMs = fleet.world.env.now
+    assert tell(fleet, 4, lambda desk, answer: desk.beat("i-1", beat_of("i-1", "draining", 2), answer)) == 200
+    acked_ms = fleet.world.env.now
     assert fleet.world.until(lambda: all(t.state == DRAINING for t in known(fleet, "i-1")), 1250)
-    tell(fleet, 2, lambda desk, answer: desk.beat("i-1", beatOf("i-1", "ready", 1), answer))
+    tell(fleet, 2, lambda desk, answer: desk.beat("i-1", beat_of("i-1", "ready", 1), answer))
     fleet.world.run(2500)
     assert all(t.state == DRAINING for t in known(fleet, "i-1"))
     assert tell(fleet, 1, lambda desk, answer: desk.leave("i-1", answer)) == 200
     assert fleet.world.until(lambda: not any(known(fleet, "i-1")), 1250)
-    assert fleet.world.env.now > ackedMs
+    assert fleet.world.env.now > acked_ms
 
 
 def test_drain_during_a_cut_is_refused_by_the_side_without_the_core():
     fleet = formed()
-    tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beatOf("i-1"), answer))
+    tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beat_of("i-1"), answer))
     fleet.world.run(2000)
     fleet.world.cut(["10.0.0.5"], [f"10.0.0.{n}" for n in (1, 2, 3, 4, 6)])
     fleet.world.run(3500)
-    assert tell(fleet, 4, lambda desk, answer: desk.beat("i-1", beatOf("i-1", "draining", 2), answer)) in (503, None)
-    assert tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beatOf("i-1", "draining", 2), answer)) == 200
+    assert tell(fleet, 4, lambda desk, answer: desk.beat("i-1", beat_of("i-1", "draining", 2), answer)) in (503, None)
+    assert tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beat_of("i-1", "draining", 2), answer)) == 200
     assert fleet.world.until(lambda: all(t.state == DRAINING for t in known(fleet, "i-1")), 2500)
 
 
@@ -79,18 +79,18 @@
     fleet = formed()
     seq = 1
     for _ in range(8):
-        tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beatOf("i-1", seq=seq), answer))
-        tell(fleet, 3, lambda desk, answer: desk.beat("i-2", beatOf("i-2", seq=seq), answer))
+        tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beat_of("i-1", seq=seq), answer))
+        tell(fleet, 3, lambda desk, answer: desk.beat("i-2", beat_of("i-2", seq=seq), answer))
         fleet.world.run(1500)
         seq += 1
     assert all(t.sound for t in known(fleet, "i-1") + known(fleet, "i-2"))
     for _ in range(6):
-        tell(fleet, 3, lambda desk, answer: desk.beat("i-2", beatOf("i-2", seq=seq), answer))
+        tell(fleet, 3, lambda desk, answer: desk.beat("i-2", beat_of("i-2", seq=seq), answer))
         fleet.world.run(1500)
         seq += 1
     assert not any(t.sound for t in known(fleet, "i-1")) and all(t.sound for t in known(fleet, "i-2"))
-    tell(fleet, 5, lambda desk, answer: desk.beat("i-1", beatOf("i-1", seq=seq, cold=2500), answer))
-    assert fleet.world.until(lambda: all(t.sound and t.coldUntilMs > fleet.world.env.now
+    tell(fleet, 5, lambda desk, answer: desk.beat("i-1", beat_of("i-1", seq=seq, cold=2500), answer))
+    assert fleet.world.until(lambda: all(t.sound and t.cold_until_ms > fleet.world.env.now
                                          for t in known(fleet, "i-1")), 2500)
 
 
@@ -99,7 +99,7 @@
     fleet = Fleet(12)
     for seq in range(1, 17):
         for number in range(12):
-            beat = beatOf(f"i-{number}", seq=seq, service=f"s{number % 4}")
+            beat = beat_of(f"i-{number}", seq=seq, service=f"s{number % 4}")
             fleet.registries[number % 6].desk.beat(f"i-{number}", beat, lambda status, body: None)
         fleet.world.run(1500)
     assert not [line for line in fleet.world.lines if "unheard" in line]
@@ -108,44 +108,44 @@
 def test_registry_that_restarts_empty_learns_and_empties_no_proxy():
     fleet = formed()
     for number in range(6):
-        tell(fleet, number, lambda desk, answer: desk.beat(f"i-{number}", beatOf(f"i-{number}"), answer))
+        tell(fleet, number, lambda desk, answer: desk.beat(f"i-{number}", beat_of(f"i-{number}"), answer))
     fleet.world.run(2500)
-    fleet.killCore(1)
-    fleet.startCore(1, False)
-    assert fleet.world.until(lambda: len(fleet.registries[1].desk.lives.byId) == 6, 8000)
+    fleet.kill_core(1)
+    fleet.start_core(1, False)
+    assert fleet.world.until(lambda: len(fleet.registries[1].desk.lives.by_id) == 6, 8000)
     assert all(len(proxy.targets) == 6 for proxy in fleet.proxies.values())
 
 
 def test_restart_of_the_whole_core_keeps_proxies_serving_and_learns_again():
     fleet = formed()
-    tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beatOf("i-1"), answer))
+    tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beat_of("i-1"), answer))
     fleet.world.run(2000)
     for number in range(6):
-        fleet.killCore(number)
+        fleet.kill_core(number)
     fleet.world.run(800)
     for number in range(6):
-        fleet.startCore(number, False)
+        fleet.start_core(number, False)
     assert all(proxy.targets and proxy.relay.digest.hosts for proxy in fleet.proxies.values())
     assert fleet.insist([0, 1], "replace", config(2, 1))[0] == 200
     assert fleet.world.until(lambda: all(p.relay.digest.serial >= 2 and p.subscribed
                                          for p in fleet.proxies.values()), 8000)
-    assert fleet.world.until(lambda: tell(fleet, 2, lambda desk, answer: desk.beat("i-1", beatOf("i-1", seq=9), answer))
+    assert fleet.world.until(lambda: tell(fleet, 2, lambda desk, answer: desk.beat("i-1", beat_of("i-1", seq=9), answer))
                              == 200, 8000)
 
 
 def test_after_a_loss_of_everything_proxies_serve_before_the_next_beat():
     fleet = formed()
     for number in range(6):
-        tell(fleet, number, lambda desk, answer: desk.beat(f"i-{number}", beatOf(f"i-{number}"), answer))
-    tell(fleet, 0, lambda desk, answer: desk.beat("i-5", beatOf("i-5", "draining", 2), answer))
+        tell(fleet, number, lambda desk, answer: desk.beat(f"i-{number}", beat_of(f"i-{number}"), answer))
+    tell(fleet, 0, lambda desk, answer: desk.beat("i-5", beat_of("i-5", "draining", 2), answer))
     fleet.world.run(3000)
     for number in range(6):
-        fleet.killCore(number)
+        fleet.kill_core(number)
         fleet.world.kill(fleet.proxies[number].context)
     fleet.world.run(800)
     for number in range(6):
-        fleet.startCore(number, False)
-        fleet.startProxy(number)
+        fleet.start_core(number, False)
+        fleet.start_proxy(number)
     assert fleet.world.until(lambda: all(p.ready() and len(p.targets) == 6 for p in fleet.proxies.values()), 2500)
     assert all(t.state == DRAINING for t in known(fleet, "i-5"))
     fleet.world.run(9000)
@@ -154,7 +154,7 @@
 
 def test_directory_names_ready_fronts_of_the_area_and_drops_a_killed_proxy():
     fleet = formed()
-    tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beatOf("i-1"), answer))
+    tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beat_of("i-1"), answer))
     desk = fleet.registries[3].desk
     assert fleet.world.until(lambda: desk.resolve("a1", "a") == ["10.0.1.1:9000"], 5000)
     fleet.world.kill(fleet.proxies[0].context)
@@ -165,36 +165,36 @@
     fleet = formed()
     fleet.world.kill(fleet.proxies[2].context)
     assert fleet.insist([0], "replace", config(2, 1))[0] == 200
-    fleet.startProxy(2)
+    fleet.start_proxy(2)
     assert fleet.world.until(lambda: fleet.proxies[2].relay.digest.hosts, 5000)
     assert fleet.proxies[2].relay.digest.serial == fleet.stores[fleet.owners()[0] - 1].chosen.serial
 
 
 def test_lives_merge_in_any_order_to_the_same():
-    def at(state, seq, unsoundAt=0, coldSeq=0):
-        return Life("i", "s", "10.0.0.1:1", "a1", 3, state, seq, unsoundAt, coldSeq, 0)
-    news = [at(READY, 1), at(DRAINING, 3), at(READY, 2, 2), at(READY, 5, coldSeq=5), at(READY, 4)]
+    def at(state, seq, unsound_at=0, cold_seq=0):
+        return Life("i", "s", "10.0.0.1:1", "a1", 3, state, seq, unsound_at, cold_seq, 0)
+    news = [at(READY, 1), at(DRAINING, 3), at(READY, 2, 2), at(READY, 5, cold_seq=5), at(READY, 4)]
     ends = set()
     for turn in range(5):
         lives = Lives()
         for life in news[turn:] + news[:turn]:
             lives.merge(life, 0)
-        ends.add((lives.byId["i"].known(), lives.byId["i"].callSeq))
+        ends.add((lives.by_id["i"].known(), lives.by_id["i"].call_seq))
     assert len(ends) == 1
     lives.merge(at(GONE, 5), 0)
     lives.merge(at(READY, 9), 0)
-    assert lives.byId["i"].state == GONE
+    assert lives.by_id["i"].state == GONE
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"null", b'{"details":[],"status":{}}',
-                                  json.dumps(beatOf("i", state="odd")).encode(),
-                                  json.dumps({**beatOf("i"), "address": "nowhere"}).encode(),
-                                  json.dumps({**beatOf("i"), "address": "10.0.0.999:5"}).encode(),
-                                  json.dumps(beatOf("i", seq="7")).encode(), json.dumps(beatOf("i", seq=True)).encode(),
-                                  json.dumps(beatOf("i", service="")).encode(), b"[" * 100000])
+                                  json.dumps(beat_of("i", state="odd")).encode(),
+                                  json.dumps({**beat_of("i"), "address": "nowhere"}).encode(),
+                                  json.dumps({**beat_of("i"), "address": "10.0.0.999:5"}).encode(),
+                                  json.dumps(beat_of("i", seq="7")).encode(), json.dumps(beat_of("i", seq=True)).encode(),
+                                  json.dumps(beat_of("i", service="")).encode(), b"[" * 100000])
 def test_bad_beats_are_problems(body):
     with pytest.raises(Problem):
-        readBeat(body)
+        read_beat(body)
 
 
 def test_bad_configurations_name_the_place():
@@ -208,16 +208,16 @@
                          (lambda c: c.update(version="x3"), "version")):
         table = json.loads(json.dumps(good))
         change(table)
-        outcome = readConfig(json.dumps(table))
+        outcome = read_config(json.dumps(table))
         assert outcome.is_error() and outcome.error.status == 400 and word in outcome.error.reason
-    assert readConfig(json.dumps(good)).is_ok()
+    assert read_config(json.dumps(good)).is_ok()
     assert fingerprint(json.dumps(good)) == fingerprint(json.dumps(good, indent=3))
 
 
 def test_registry_that_ends_in_order_hands_its_parts_over():
     fleet = formed(13)
     for number in range(6):
-        tell(fleet, number, lambda desk, answer: desk.beat(f"i-{number}", beatOf(f"i-{number}"), answer))
+        tell(fleet, number, lambda desk, answer: desk.beat(f"i-{number}", beat_of(f"i-{number}"), answer))
     fleet.world.run(6000)
     table = fleet.registries[0].membership.state.table
     leaver = next(n for n in range(1, 6) if any(f"10.0.0.{n + 1}:7200" in group for part, group in table.items()
@@ -235,4 +235,4 @@
     for part, group in watcher.state.table.items():
         if part.startswith("part-"):
             assert len(group) == 3
-    assert all(len(registry.desk.lives.byId) == 6 for n, registry in fleet.registries.items() if n != leaver)
+    assert all(len(registry.desk.lives.by_id) == 6 for n, registry in fleet.registries.items() if n != leaver)
--- a/tests/test_rehearsing.py
+++ b/tests/test_rehearsing.py
@@ -81,7 +81,7 @@
         self.dead.add(region)
         for number, area in enumerate(AREAS):
             if area[0] == region:
-                self.fleet.killCore(number)
+                self.fleet.kill_core(number)
                 self.world.kill(self.fleet.proxies[number].context)
         for endpoint in self.endpoints:
             if endpoint.area[0] == region:
@@ -89,10 +89,10 @@
                 for transport in endpoint.streams:
                     transport.abort()
 
-    def shares(self, path, sinceMs):
+    def shares(self, path, since_ms):
         counts = {}
-        for atMs, region, what, _ in self.ran:
-            if what == path and atMs >= sinceMs:
+        for at_ms, region, what, _ in self.ran:
+            if what == path and at_ms >= since_ms:
                 counts[region] = counts.get(region, 0) + 1
         total = max(1, sum(counts.values()))
         return {region: count / total for region, count in counts.items()}
@@ -107,17 +107,17 @@
     assert len(town.ran) == arrivals, "the rehearsal must not touch real traffic"
     assert {row["kind"] for row in table.values()} == {"repeatable", "at most once"}
     town.lose("a")
-    lostMs = town.world.env.now
+    lost_ms = town.world.env.now
     town.world.run(14000)
     for path, name in (("p", "r-pure/p/"), ("e", "r-effectful/e/"), ("h", "r-pure/h/")):
-        real, rehearsed = town.shares(path, lostMs + 4000), table[name]["lost"]["regions"]
+        real, rehearsed = town.shares(path, lost_ms + 4000), table[name]["lost"]["regions"]
         assert set(rehearsed) <= {"b", "c"}
         for region in ("b", "c"):
             assert abs(real.get(region, 0) - rehearsed.get(region, 0)) < 0.15, (name, real, rehearsed)
-    assert town.shares("h", lostMs + 4000) == {"b": 1.0}
+    assert town.shares("h", lost_ms + 4000) == {"b": 1.0}
     effectful = [id for _, _, what, id in town.ran if what == "e"]
     assert len(effectful) == len(set(effectful))
-    late = [client for atMs, _, client in town.clients if lostMs + 4000 < atMs < town.world.env.now - 2000]
+    late = [client for at_ms, _, client in town.clients if lost_ms + 4000 < at_ms < town.world.env.now - 2000]
     served = sum(client.statuses() == ["200"] for client in late)
     assert served > 0.97 * len(late), (served, len(late))
     assert all(row["lost"]["mostRunsOfAJob"] == 1 for row in table.values() if row["kind"] == "at most once")
@@ -139,9 +139,9 @@
     plan = Plan([stand()], CONFIG, Bounds({}))
     moved = shifted(plan, "a")
     assert list(moved) == ["10.0.1.1:7200"]
-    assert sum(flow.perS for flow in moved["10.0.1.1:7200"]) == pytest.approx(60.0)
+    assert sum(flow.per_s for flow in moved["10.0.1.1:7200"]) == pytest.approx(60.0)
     calm = rehearse(plan, "", 10, 3)
-    assert calm["r-pure/p/"].areas.keys() == {"a1", "b1"} and calm["r-pure/p/"].inAim > 100
+    assert calm["r-pure/p/"].areas.keys() == {"a1", "b1"} and calm["r-pure/p/"].in_aim > 100
     assert rehearse(plan, "a", 10, 3)["r-pure/p/"].areas.keys() == {"b1"}
 
 
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -6,9 +6,9 @@
 from stagevale.registrations import DRAINING
 
 
-def answersWith(status, head=b"", text=b"", withId=True):
+def answers_with(status, head=b"", text=b"", with_id=True):
     def rule(endpoint, fields, body):
-        id = b"Attempt-Id: " + fields[b"attempt-id"] + b"\r\n" if withId else b""
+        id = b"Attempt-Id: " + fields[b"attempt-id"] + b"\r\n" if with_id else b""
         return (f"HTTP/1.1 {status} X\r\nContent-Length: {len(text)}\r\n".encode() + id + head + b"\r\n" + text)
     return rule
 
@@ -108,7 +108,7 @@
     def rule(endpoint, fields, body):
         if not turned:
             turned.append(endpoint.id)
-            return answersWith(503, b"Not-Run: 1\r\n", withId=False)(endpoint, fields, body)
+            return answers_with(503, b"Not-Run: 1\r\n", with_id=False)(endpoint, fields, body)
         return good(endpoint, fields, body)
     endpoints = [scene.endpoint(rule), scene.endpoint(rule)]
     client = scene.client(job("/e/x", "9", "POST", b"b"))
@@ -120,7 +120,7 @@
 def test_refusal_without_proof_is_not_passed_on():
     """A 503 without Not-Run may have run: the client must not be promised that it hasn't."""
     scene = Scene()
-    scene.endpoint(answersWith(503))
+    scene.endpoint(answers_with(503))
     client = scene.client(job("/e/x", "9", "POST", b"b"))
     scene.world.run(1500)
     assert client.statuses() == ["502"]
@@ -129,7 +129,7 @@
 def test_address_reuse_is_answered_by_421_and_the_life_is_dropped():
     scene = Scene()
     scene.world.run(9000)
-    other = scene.endpoint(answersWith(421, b"Instance: i-other\r\n", withId=False))
+    other = scene.endpoint(answers_with(421, b"Instance: i-other\r\n", with_id=False))
     client = scene.client(job("/e/x", "9", "POST", b"b"))
     scene.world.run(1000)
     assert client.statuses() == ["503"] and b"Retry-After" in client.got
@@ -165,22 +165,22 @@
     assert client.statuses() == ["200", "200"] and len(endpoint.streams) == 2
 
 
-def brokenAnswers():
+def broken_answers():
     seal = b"Server-Seal: s\r\n"
     return {
-        "no seal": answersWith(200, text=b"x"),
+        "no seal": answers_with(200, text=b"x"),
         "other id": lambda e, f, b: b"HTTP/1.1 200 OK\r\nAttempt-Id: 0\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx",
-        "encoded": answersWith(200, seal + b"Content-Encoding: gzip\r\n", b"x"),
+        "encoded": answers_with(200, seal + b"Content-Encoding: gzip\r\n", b"x"),
         "no length": lambda e, f, b: b"HTTP/1.1 200 OK\r\nAttempt-Id: 1\r\n" + seal + b"\r\nxx",
         "garbage": lambda e, f, b: b"\x00\x01garbage\r\n\r\n",
-        "two lengths": answersWith(200, seal + b"Content-Length: 5\r\n", b"x"),
+        "two lengths": answers_with(200, seal + b"Content-Length: 5\r\n", b"x"),
     }
 
 
-@pytest.mark.parametrize("name", sorted(brokenAnswers()))
+@pytest.mark.parametrize("name", sorted(broken_answers()))
 def test_what_is_no_answer_of_the_endpoint_never_reaches_a_client_as_success(name):
     scene = Scene()
-    endpoint = scene.endpoint(brokenAnswers()[name])
+    endpoint = scene.endpoint(broken_answers()[name])
     client = scene.client(job("/e/x", "1", "POST", b"b"))
     scene.world.run(200)
     for transport in endpoint.streams:
@@ -238,7 +238,7 @@
 def test_cold_endpoint_gets_its_share_a_second():
     scene = Scene()
     cold = scene.endpoint()
-    scene.tell(cold.life(coldMs=3000, seq=2))
+    scene.tell(cold.life(cold_ms=3000, seq=2))
     for number in range(30):
         scene.client(job(id=str(number)))
         scene.world.run(30)
@@ -247,7 +247,7 @@
 
 def test_budget_bounds_further_tries_when_all_turn_away():
     scene = Scene()
-    endpoints = [scene.endpoint(answersWith(503, b"Not-Run: 1\r\n")) for _ in range(3)]
+    endpoints = [scene.endpoint(answers_with(503, b"Not-Run: 1\r\n")) for _ in range(3)]
     scene.world.run(10000)
     for number in range(200):
         scene.client(job(id=str(number)))
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -5,10 +5,10 @@
 from hypothesis import given, settings, strategies as st
 
 from simworld import Fleet
-from standins import Endpoint, clientAt, good, job
+from standins import Endpoint, client_at, good, job
 from stagevale.configuration import Keeper
 from stagevale.configuration.orders import MOVE_ROLLOUT, START_ROLLOUT, decide
-from stagevale.configuration.value import Value, readValue
+from stagevale.configuration.value import Value, read_value
 from stagevale.leases import Lease
 from stagevale.registrations.calls import dispatcher
 from stagevale.rollouts import DONE, FALLEN, NEW, SHIFTING, Outcomes, Rollout
@@ -53,7 +53,7 @@
     first = decide(value(), START_ROLLOUT, "s\n" + plan(), {})
     assert first.status == 200
     held = first.value
-    assert readValue(held.packed).rollouts == held.rollouts
+    assert read_value(held.packed).rollouts == held.rollouts
     assert decide(held, START_ROLLOUT, "s\n" + plan(), {}).value is None
     assert decide(held, START_ROLLOUT, "s\n" + plan(), {}).status == 200
     assert decide(held, START_ROLLOUT, "none\n" + plan(), {}).status == 404
@@ -158,7 +158,7 @@
         self.world.later(1500, self.beat, place, endpoint, seq + 1)
         alive = [registry for registry in self.fleet.registries.values() if registry.context.alive]
         if alive:
-            alive[place % len(alive)].desk.takeIn(endpoint.life(seq=seq), lambda status, body: None)
+            alive[place % len(alive)].desk.take_in(endpoint.life(seq=seq), lambda status, body: None)
 
     def run(self, endpoint, fields, body):
         id = fields[b"attempt-id"].decode()
@@ -177,7 +177,7 @@
             for path, method, body in (("/p/x", "GET", b""), ("/e/x", "POST", b"crate")):
                 self.number += 1
                 id = f"{'p' if path == '/p/x' else 'e'}{self.number}"
-                client = clientAt(self.world, f"10.0.1.{proxy + 1}")
+                client = client_at(self.world, f"10.0.1.{proxy + 1}")
                 if client is not None:
                     client.transport.write(job(path, id, method, body))
                     self.sent.append((self.world.env.now, proxy, id, client))
@@ -252,17 +252,17 @@
 
 def kill_proxy(yard):
     yard.world.kill(yard.fleet.proxies[0].context)
-    yard.world.later(600, yard.fleet.startProxy, 0)
+    yard.world.later(600, yard.fleet.start_proxy, 0)
     return (0,)
 
 
 def kill_owner(yard):
-    yard.fleet.killCore(yard.fleet.owners()[0] - 1)
+    yard.fleet.kill_core(yard.fleet.owners()[0] - 1)
     return ()
 
 
 def kill_zone(yard):
-    yard.fleet.killCore(1)
+    yard.fleet.kill_core(1)
     yard.world.kill(yard.fleet.proxies[1].context)
     return (1,)
 
@@ -335,13 +335,13 @@
     assert call("PUT", "s", body=b"\xff")[0] == 400 and call("PUT", "s", body=b" " * 70000)[0] == 413
     assert call("POST", "s")[0] == 405 and call("POST", "s", "jump")[0] == 404 and call("GET", "s", "pause")[0] == 405
     assert call("PUT", "s", body=plan(watchS=60.0).encode())[0] == 200
-    assert yard.world.until(lambda: registry.desk.softwareOf("s").get("v1", (0, 0))[0] == 3, 8000)
+    assert yard.world.until(lambda: registry.desk.software_of("s").get("v1", (0, 0))[0] == 3, 8000)
     status, row = call("GET", "s")
     assert status == 200 and row["endpoints"]["v1"]["endpoints"] == 3 and row["warnings"] == []
     assert call("POST", "s", "pause")[1]["state"] == "paused"
     assert call("POST", "s", "resume")[1]["state"] == SHIFTING
     assert call("POST", "s", "promote")[1]["state"] == DONE
-    for life in list(registry.desk.lives.byId.values()):
+    for life in list(registry.desk.lives.by_id.values()):
         if life.software == "v1":
             life.state = 1
     assert "refused" in call("GET", "s")[1]["warnings"][0]
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -3,9 +3,9 @@
 import random
 
 from simworld import Fleet
-from standins import Endpoint, Scene, clientAt, good, job, route
+from standins import Endpoint, Scene, client_at, good, job, route
 from stagevale.commands import app
-from stagevale.doctoring import standFaults
+from stagevale.doctoring import stand_faults
 from stagevale.settings import Bounds
 from stagevale.steering import MARGIN, Histogram, Steering
 
@@ -50,9 +50,9 @@
         assert len(ids) == len(set(ids)), "a crate ran twice"
 
     def spans(self, ms):
-        startMs = self.world.env.now
+        start_ms = self.world.env.now
         self.world.run(ms)
-        return startMs
+        return start_ms
 
 
 def test_a_slowed_region_loses_its_share_and_gets_it_back():
@@ -61,12 +61,12 @@
     assert yard.share(1000) < 0.1
     yard.delay["a"] = 500
     yard.spans(10000)
-    sinceMs = yard.spans(3000)
-    assert yard.share(sinceMs) > 0.8
+    since_ms = yard.spans(3000)
+    assert yard.share(since_ms) > 0.8
     yard.delay["a"] = 40
     yard.spans(25000)
-    sinceMs = yard.spans(4000)
-    assert yard.share(sinceMs) < 0.25
+    since_ms = yard.spans(4000)
+    assert yard.share(since_ms) < 0.25
     yard.check()
 
 
@@ -75,8 +75,8 @@
     yard.spans(4000)
     yard.delay["a"] = None
     yard.spans(8000)
-    sinceMs = yard.spans(3000)
-    assert yard.share(sinceMs) > 0.8
+    since_ms = yard.spans(3000)
+    assert yard.share(since_ms) > 0.8
     yard.check()
     late = [client for id, client in yard.sent[-200:-60] if client.statuses() == ["200"]]
     assert len(late) > 0.8 * 140
@@ -107,8 +107,8 @@
     yard.delay["a"] = 400
     yard.spans(10000)
     yard.gap_ms = 12
-    sinceMs = yard.spans(4000)
-    assert 0.2 < yard.share(sinceMs) < 0.98
+    since_ms = yard.spans(4000)
+    assert 0.2 < yard.share(since_ms) < 0.98
     yard.check()
 
 
@@ -172,10 +172,10 @@
               "services": [{"name": "s", "maxConns": 50, "warmupS": 0, "coldPerS": 99}]}
     assert fleet.insist([0], "replace", json.dumps(config))[0] == 200
     endpoint = Endpoint(world, 1, lambda e, fields, body: good(e, fields, body))
-    fleet.registries[0].desk.takeIn(endpoint.life(), lambda status, body: None)
+    fleet.registries[0].desk.take_in(endpoint.life(), lambda status, body: None)
     assert world.until(lambda: all(proxy.targets for proxy in fleet.proxies.values()), 6000)
     for number in range(120):
-        clientAt(world, "10.0.1.1").transport.write(job("/p/x", f"x{number}"))
+        client_at(world, "10.0.1.1").transport.write(job("/p/x", f"x{number}"))
         world.run(50)
     world.run(6000)
     stands = [registry.desk.stand() for registry in fleet.registries.values()]
@@ -189,7 +189,7 @@
     stand = next(stand for stand in stands if any(proxy["delays"] for proxy in stand["proxies"]))
     row = next(proxy for proxy in stand["proxies"] if proxy["delays"])["delays"][0]
     row.update(count=100, expectedMs=20.0, gotMs=500.0)
-    assert any("callers got 500 ms" in finding.fault for finding in standFaults("here", stand))
+    assert any("callers got 500 ms" in finding.fault for finding in stand_faults("here", stand))
 
 
 def test_without_the_setting_nothing_is_kept():
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -5,7 +5,7 @@
 
 from simworld import Fleet
 from standins import Scene, good, job, route
-from stagevale.configuration.checking import readConfig
+from stagevale.configuration.checking import read_config
 from stagevale.registrations import DRAINING
 
 TENANTS = [{"name": "co-op", "apiKeys": ["key-one", "key-two"], "priority": 0},
@@ -98,7 +98,7 @@
     day.world.run(30)
     day.change(tenants=[TENANTS[1]])
     day.endpoint()
-    day.proxy.relay.pumpAll()
+    day.proxy.relay.pump_all()
     day.world.run(300)
     assert client.statuses() == ["401"] and not day.endpoints[1].ran
 
@@ -141,7 +141,7 @@
     ([{"name": "x", "priority": "high"}], "priority"), ([{"name": "x\r\nA: b"}], "can't stand in a header"),
     ([{"name": "x", "apiKeys": ["secret "]}], "can't stand in a header")])
 def test_invalid_tenants_are_a_400_that_names_the_place_and_no_key(tenants, where):
-    checked = readConfig(text(tenants), {"a", "b"})
+    checked = read_config(text(tenants), {"a", "b"})
     assert checked.is_error() and checked.error.status == 400
     assert where in checked.error.reason and "secret" not in checked.error.reason
 
--- a/tools/hollow.py
+++ b/tools/hollow.py
@@ -9,7 +9,7 @@
 from simworld import SimContext, World  # noqa: E402
 from stagevale.membership import Membership  # noqa: E402
 from stagevale.placement import place  # noqa: E402
-from stagevale.settings import readSettings  # noqa: E402
+from stagevale.settings import read_settings  # noqa: E402
 
 SETTINGS = """
 [daemon]
@@ -70,7 +70,7 @@
         ip = self.ip(kind, n)
         self.world.regions[ip] = region
         listen = f'front = "{ip}:9000"' if program == "proxy" else f'control = "{ip}:8000"'
-        settings = readSettings(SETTINGS.format(name=f"{program}-{n}", ip=ip, zone=zone, region=region, listen=listen,
+        settings = read_settings(SETTINGS.format(name=f"{program}-{n}", ip=ip, zone=zone, region=region, listen=listen,
                                                 zones=self.table,
                                                 seeds=", ".join(f'"{seed}:8000"' for seed in self.seeds)))
         context = SimContext(self.world, settings, f"{program}-{n}")
@@ -88,16 +88,16 @@
 
     def measure(self, ms):
         """(messages, bytes, seconds of processor) of all daemons together in a stretch of simulated time."""
-        before, startS = list(self.sent), time.process_time()
+        before, start_s = list(self.sent), time.process_time()
         self.world.run(ms)
-        return self.sent[0] - before[0], self.sent[1] - before[1], time.process_time() - startS
+        return self.sent[0] - before[0], self.sent[1] - before[1], time.process_time() - start_s
 
-    def settle(self, limitMs=60000):
+    def settle(self, limit_ms=60000):
         """Runs until all have converged; what that took: (ms, messages, bytes, seconds of processor)."""
-        before, startS, startMs = list(self.sent), time.process_time(), self.world.env.now
-        done = self.world.until(self.formed, limitMs, 250)
-        return (done, self.world.env.now - startMs, self.sent[0] - before[0], self.sent[1] - before[1],
-                time.process_time() - startS)
+        before, start_s, start_ms = list(self.sent), time.process_time(), self.world.env.now
+        done = self.world.until(self.formed, limit_ms, 250)
+        return (done, self.world.env.now - start_ms, self.sent[0] - before[0], self.sent[1] - before[1],
+                time.process_time() - start_s)
 
 
 if __name__ == "__main__":
@@ -108,7 +108,7 @@
         print(f"{n} start: formed={done} {ms:.0f} ms, {messages / n:.0f} messages, {size / n / 1000:.0f} KB, "
               f"{cpu / n * 1000:.0f} ms cpu per daemon", flush=True)
         messages, size, cpu = fleet.measure(10000)
-        print(f"{n} calm: {messages / n / 10:.2f} messages/s {size / n / 10:.0f} B/s {cpu / n / 10 * 1000:.2f} ms/s; state {len(next(iter(fleet.members.values())).packedState())} B", flush=True)
+        print(f"{n} calm: {messages / n / 10:.2f} messages/s {size / n / 10:.0f} B/s {cpu / n / 10 * 1000:.2f} ms/s; state {len(next(iter(fleet.members.values())).packed_state())} B", flush=True)
         victim = fleet.members[fleet.ip(1, 3) + ":7200"]
         fleet.world.kill(victim.context)
         fleet.world.run(800)
