--- a/stagevale/affinity/__init__.py
+++ b/stagevale/affinity/__init__.py
@@ -29,24 +29,24 @@
     return frozenset(homes.split(",")) if homes else frozenset()
 
 
-def digest_of(method, target, body):
-    """What a key stands for: the same key with another digest is another job under a used name."""
+def snapshot_of(method, target, body):
+    """What a key stands for: the same key with another snapshot is another request under a used name."""
     return hashlib.sha256(method + b"\n" + target + b"\n" + body).hexdigest()[:24]
 
 
 class Entry:
-    """One at-most-once job under its key. A later turn goes over an earlier one, a later state within a turn too.
+    """One at-most-once request under its key. A later turn goes over an earlier one, a later state within a turn too.
 
-    A turn is the epoch under which the job was noted (number, holder) and a count: who notes anew has seen a majority's
+    A turn is the version under which the request was noted (number, holder) and a count: who notes anew has seen a majority's
     records, so an earlier turn that it didn't see was never noted by one and can't be any more.
     """
 
-    __slots__ = ("turn", "state", "digest", "by", "answer", "expires_ms")
+    __slots__ = ("turn", "state", "snapshot", "by", "answer", "expires_ms")
 
-    def __init__(self, turn, state, digest, by, answer, expires_ms):
+    def __init__(self, turn, state, snapshot, by, answer, expires_ms):
         self.turn = turn
         self.state = state
-        self.digest = digest
+        self.snapshot = snapshot
         self.by = by
         self.answer = answer
         self.expires_ms = expires_ms
@@ -55,54 +55,54 @@
         return self.turn, self.state
 
     def fields(self, now_ms):
-        return [list(self.turn), self.state, self.digest, self.by, self.answer, int(self.expires_ms - now_ms)]
+        return [list(self.turn), self.state, self.snapshot, self.by, self.answer, int(self.expires_ms - now_ms)]
 
 
 def entry_from(fields, now_ms):
-    turn, state, digest, by, answer, left_ms = fields
-    return Entry((int(turn[0]), turn[1], int(turn[2])), int(state), digest, by, answer, now_ms + left_ms)
+    turn, state, snapshot, by, answer, left_ms = fields
+    return Entry((int(turn[0]), turn[1], int(turn[2])), int(state), snapshot, by, answer, now_ms + left_ms)
 
 
 class Record:
-    """A session: its epoch (number and holder), the endpoint it keeps to per service, its jobs by key."""
+    """A session: its version (number and holder), the endpoint it keeps to per service, its requests by key."""
 
-    __slots__ = ("number", "holder", "pins", "jobs")
+    __slots__ = ("number", "holder", "pins", "requests")
 
-    def __init__(self, number=0, holder="", pins=None, jobs=None):
+    def __init__(self, number=0, holder="", pins=None, requests=None):
         self.number = number
         self.holder = holder
         self.pins = pins or {}
-        self.jobs = jobs or {}
+        self.requests = requests or {}
 
-    def epoch(self):
+    def version(self):
         return self.number, self.holder
 
     def fields(self, now_ms):
-        return [self.number, self.holder, self.pins, {key: entry.fields(now_ms) for key, entry in self.jobs.items()
+        return [self.number, self.holder, self.pins, {key: entry.fields(now_ms) for key, entry in self.requests.items()
                                                       if entry.expires_ms > now_ms}]
 
     def join(self, other):
         """Takes in what another copy of the record knows."""
-        if other.epoch() > self.epoch():
+        if other.version() > self.version():
             self.number, self.holder = other.number, other.holder
             self.pins = {**self.pins, **other.pins}
         else:
             self.pins = {**other.pins, **self.pins}
-        for key, entry in other.jobs.items():
-            mine = self.jobs.get(key)
+        for key, entry in other.requests.items():
+            mine = self.requests.get(key)
             if mine is None or entry.rank() > mine.rank():
-                self.jobs[key] = entry
+                self.requests[key] = entry
 
 
 def record_from(fields, now_ms):
-    number, holder, pins, jobs = fields
-    return Record(int(number), holder, dict(pins), {key: entry_from(row, now_ms) for key, row in jobs.items()})
+    number, holder, pins, requests = fields
+    return Record(int(number), holder, dict(pins), {key: entry_from(row, now_ms) for key, row in requests.items()})
 
 
 def tend(sessions, wanted, registries, gone):
     """The register's next word on the groups, or None: makes those that are wanted, replaces members gone for good.
 
-    `sessions` is name to (epoch, members, before); `registries` are those that live; `gone` are addresses. A group in
+    `sessions` is name to (version, members, before); `registries` are those that live; `gone` are addresses. A group in
     the middle of a change is left alone until that is settled.
     """
     after = dict(sessions)
@@ -111,14 +111,14 @@
             members = choose_members(name, registries, ())
             if members:
                 after[name] = (1, members, (FRESH,))
-    for name, (epoch, members, before) in sessions.items():
+    for name, (version, members, before) in sessions.items():
         lost = [address for address in members if address in gone]
         if before or not lost:
             continue
         kept = tuple(address for address in members if address not in lost[:1])
         comers = choose_members(name, [r for r in registries if r.address not in members], kept)
         if len(comers) > len(kept):
-            after[name] = (epoch + 1, comers, members)
+            after[name] = (version + 1, comers, members)
     return after if after != sessions else None
 
 
--- a/stagevale/affinity/keeping.py
+++ b/stagevale/affinity/keeping.py
@@ -9,13 +9,13 @@
 class Group:
     """What this registry knows of one group and, as a member, its records."""
 
-    __slots__ = ("epoch", "members", "before", "learned_epoch", "sealed", "records", "learning")
+    __slots__ = ("version", "members", "before", "learned_version", "sealed", "records", "learning")
 
     def __init__(self):
-        self.epoch = 0
+        self.version = 0
         self.members = ()
         self.before = ()
-        self.learned_epoch = 0
+        self.learned_version = 0
         self.sealed = 0
         self.records = {}
         self.learning = False
@@ -42,16 +42,16 @@
             board.on(kind, handler)
         context.disk(log.load, self.on_loaded)
 
-    def on_loaded(self, rows, problem):
-        if problem is not None:
-            self.context.log.error("sessions: the disk can't be read: %s; trying again.", problem)
+    def on_loaded(self, rows, failure):
+        if failure is not None:
+            self.context.log.error("sessions: the disk can't be read: %s; trying again.", failure)
             self.context.after(500, lambda: self.context.disk(self.log.load, self.on_loaded))
             return
         now_ms = self.context.now_ms()
         for row in rows or ():
             if row[0] == "group":
                 group = self.groups.setdefault(row[1], Group())
-                group.learned_epoch, group.sealed = row[2], row[3]
+                group.learned_version, group.sealed = row[2], row[3]
             else:
                 self.groups.setdefault(row[1], Group()).records[row[2]] = record_from(row[3], now_ms)
         self.loaded = True
@@ -68,10 +68,10 @@
             return
         batch, self.unsaved, self.saving = self.unsaved, [], True
 
-        def saved(_, problem):
+        def saved(_, failure):
             self.saving = False
-            if problem is not None:
-                self.context.log.error("sessions: saving failed: %s.", problem)
+            if failure is not None:
+                self.context.log.error("sessions: saving failed: %s.", failure)
                 self.unsaved = batch + self.unsaved
                 self.context.after(200, self.save_next)
                 return
@@ -88,7 +88,7 @@
         now_ms = self.context.now_ms()
         rows = []
         for name, group in self.groups.items():
-            rows.append(["group", name, group.learned_epoch, group.sealed])
+            rows.append(["group", name, group.learned_version, group.sealed])
             rows += [["record", name, session, record.fields(now_ms)] for session, record in group.records.items()]
         return rows
 
@@ -99,12 +99,12 @@
         self.latest = sessions
         if not self.loaded:
             return
-        for name, (epoch, members, before) in sessions.items():
+        for name, (version, members, before) in sessions.items():
             group = self.groups.setdefault(name, Group())
-            if epoch < group.epoch:
+            if version < group.version:
                 continue
-            group.epoch, group.members, group.before = epoch, tuple(members), tuple(before)
-            if self.board.address in members and group.learned_epoch < epoch:
+            group.version, group.members, group.before = version, tuple(members), tuple(before)
+            if self.board.address in members and group.learned_version < version:
                 self.learn(name)
             elif self.board.address not in members and not before:
                 group.records = {}
@@ -112,39 +112,39 @@
     def learn(self, name):
         """Brings a group's records here: from a majority of the members before, who seal, or of those that are."""
         group = self.groups[name]
-        if group.learning or group.learned_epoch >= group.epoch or self.board.address not in group.members:
+        if group.learning or group.learned_version >= group.version or self.board.address not in group.members:
             return
-        epoch = group.epoch
+        version = group.version
         if group.before == (FRESH,):
-            self.learnt(name, epoch, [])
+            self.learnt(name, version, [])
             return
         peers = group.before or group.members
-        least = epoch - 1 if group.before else epoch
+        least = version - 1 if group.before else version
         group.learning = True
         got, waiting = [], set(peers)
         if self.board.address in peers:
             waiting.discard(self.board.address)
-            if group.learned_epoch >= least:
+            if group.learned_version >= least:
                 got.append({})
 
-        def answered(peer, answer, problem):
+        def answered(peer, answer, failure):
             waiting.discard(peer)
-            if problem is None and answer and answer[0] >= least:
+            if failure is None and answer and answer[0] >= least:
                 got.append(answer[1])
-            if group.learning and group.epoch == epoch and len(got) >= majority(len(peers)):
+            if group.learning and group.version == version and len(got) >= majority(len(peers)):
                 group.learning = False
-                self.learnt(name, epoch, got)
+                self.learnt(name, version, got)
             elif not waiting and group.learning:
                 group.learning = False
                 self.context.after(self.context.settings.bounds.contact_ms * RETRY_SHARE / 2, self.learn, name)
-        cutoff_ms = self.context.settings.bounds.contact_ms * RETRY_SHARE
+        deadline_ms = self.context.settings.bounds.contact_ms * RETRY_SHARE
         for peer in list(waiting):
-            self.board.call(peer, wire.SESSION_LEARN, [name, epoch], cutoff_ms,
-                            lambda answer, problem, peer=peer: answered(peer, answer, problem))
+            self.board.call(peer, wire.SESSION_LEARN, [name, version], deadline_ms,
+                            lambda answer, failure, peer=peer: answered(peer, answer, failure))
         if not waiting:
             answered("", None, "nobody to ask")
 
-    def learnt(self, name, epoch, got):
+    def learnt(self, name, version, got):
         group = self.groups[name]
         now_ms = self.context.now_ms()
         for records in got:
@@ -154,15 +154,15 @@
             self.save(["record", name, session, record.fields(now_ms)], None)
 
         def saved():
-            if group.epoch == epoch:
-                group.learned_epoch = epoch
-                self.context.log.info("sessions: group %s, epoch %d, is learned with %d records.", name, epoch,
+            if group.version == version:
+                group.learned_version = version
+                self.context.log.info("sessions: group %s, version %d, is learned with %d records.", name, version,
                                       len(group.records))
-        self.save(["group", name, epoch, group.sealed], saved)
+        self.save(["group", name, version, group.sealed], saved)
 
     def on_learn(self, peer, body, reply):
         """A member of a later group asks: what was noted here is handed over, and nothing more is noted before."""
-        name, epoch = body
+        name, version = body
         group = self.groups.get(name)
         if group is None or not self.loaded:
             reply([-1, {}])
@@ -170,22 +170,22 @@
         now_ms = self.context.now_ms()
 
         def answer():
-            reply([group.learned_epoch, {session: record.fields(now_ms) for session, record in group.records.items()}])
-        if epoch > group.epoch and epoch > group.sealed:
-            group.sealed = epoch
-            self.save(["group", name, group.learned_epoch, epoch], answer)
+            reply([group.learned_version, {session: record.fields(now_ms) for session, record in group.records.items()}])
+        if version > group.version and version > group.sealed:
+            group.sealed = version
+            self.save(["group", name, group.learned_version, version], answer)
         else:
             answer()
 
     def on_ready(self, peer, body, reply):
-        name, epoch = body
+        name, version = body
         group = self.groups.get(name)
-        reply(int(group is not None and group.learned_epoch >= epoch))
+        reply(int(group is not None and group.learned_version >= version))
 
-    def able(self, name, epoch):
-        """The group, where this registry may speak for it under this epoch."""
+    def able(self, name, version):
+        """The group, where this registry may speak for it under this version."""
         group = self.groups.get(name)
-        if (group is None or group.epoch != epoch or group.learned_epoch != epoch or group.sealed > epoch
+        if (group is None or group.version != version or group.learned_version != version or group.sealed > version
                 or self.board.address not in group.members or group.before == (FRESH,)):
             return None
         return group
@@ -202,15 +202,15 @@
     # sessions
 
     def on_take(self, peer, body, reply):
-        """A proxy wants to hold a session under a higher epoch."""
-        name, epoch, session, number, holder = body
-        group = self.able(name, epoch)
+        """A proxy wants to hold a session under a higher version."""
+        name, version, session, number, holder = body
+        group = self.able(name, version)
         if group is None:
             reply([-1])
             return
         now_ms = self.context.now_ms()
         record = self.record_of(group, session)
-        if (number, holder) <= record.epoch():
+        if (number, holder) <= record.version():
             reply([0, record.number])
             return
         self.counts["taken"] += 1
@@ -222,60 +222,60 @@
         self.kept(name, session, record, reply, [1, record.fields(now_ms), former])
 
     def expire(self, record, now_ms):
-        for key in [key for key, entry in record.jobs.items() if entry.expires_ms <= now_ms]:
-            del record.jobs[key]
+        for key in [key for key, entry in record.requests.items() if entry.expires_ms <= now_ms]:
+            del record.requests[key]
 
     def on_note(self, peer, body, reply):
-        """The holder notes a job before it is offered."""
-        name, epoch, session, number, holder, key, turn, digest, by, keep_ms = body
-        group = self.able(name, epoch)
+        """The holder notes a request before it is offered."""
+        name, version, session, number, holder, key, turn, snapshot, by, keep_ms = body
+        group = self.able(name, version)
         if group is None:
             reply([-1])
             return
         record = self.record_of(group, session)
-        if (number, holder) != record.epoch():
+        if (number, holder) != record.version():
             reply([0, record.number])
             return
         now_ms = self.context.now_ms()
-        entry = record.jobs.get(key)
+        entry = record.requests.get(key)
         turn = (number, holder, turn)
         if entry is not None and entry.turn >= turn:
             reply([2, entry.fields(now_ms)])
             return
         self.counts["noted"] += 1
-        record.jobs[key] = Entry(turn, NOTED, digest, by, None, now_ms + keep_ms)
+        record.requests[key] = Entry(turn, NOTED, snapshot, by, None, now_ms + keep_ms)
         self.kept(name, session, record, reply, [1])
 
     def on_mark(self, peer, body, reply):
-        """What became of a noted job; whoever holds the session by now."""
-        name, epoch, session, key, fields, pins = body
-        group = self.able(name, epoch)
+        """What became of a noted request; whoever holds the session by now."""
+        name, version, session, key, fields, pins = body
+        group = self.able(name, version)
         if group is None:
             reply([-1])
             return
         comer = entry_from(fields, self.context.now_ms())
         record = self.record_of(group, session)
-        entry = record.jobs.get(key)
+        entry = record.requests.get(key)
         if entry is None or comer.rank() > entry.rank():
-            record.jobs[key] = comer
+            record.requests[key] = comer
         record.pins.update(pins)
         self.kept(name, session, record, reply, [1])
 
     def on_look(self, peer, body, reply):
         """What is known of a session, without taking it."""
-        name, epoch, session = body
-        group = self.able(name, epoch)
+        name, version, session = body
+        group = self.able(name, version)
         record = group.records.get(session) if group is not None else None
         reply([0 if group is None else 1, record.fields(self.context.now_ms()) if record is not None else None])
 
     def stand(self):
         """Counts for the tools; no names of sessions."""
-        jobs = [entry for group in self.groups.values() for record in group.records.values()
-                for entry in record.jobs.values()]
+        requests = [entry for group in self.groups.values() for record in group.records.values()
+                for entry in record.requests.values()]
         return {**self.counts, "held": sum(len(group.records) for group in self.groups.values()),
-                "unknown": sum(1 for entry in jobs if entry.state == UNKNOWN),
-                "groups": {name: {"epoch": group.epoch, "members": list(group.members),
-                                  "learned": group.learned_epoch >= group.epoch}
+                "unknown": sum(1 for entry in requests if entry.state == UNKNOWN),
+                "groups": {name: {"version": group.version, "members": list(group.members),
+                                  "learned": group.learned_version >= group.version}
                            for name, group in self.groups.items() if self.board.address in group.members}}
 
 
--- a/stagevale/balancing/__init__.py
+++ b/stagevale/balancing/__init__.py
@@ -1,11 +1,11 @@
-"""Balancing: which endpoint a job goes to, and whether it may go to any."""
+"""Balancing: which endpoint a request goes to, and whether it may go to any."""
 import heapq
 import zlib
 
 from stagevale.registrations import READY
 
 COLD_PROXIES = 2
-AREA_COST = 0.1
+ZONE_COST = 0.1
 REGION_COST = 0.4
 LATE_COST = 2.0
 LATE_MARGIN = 1.4
@@ -18,19 +18,19 @@
 class Target:
     """One life of an endpoint as this proxy uses it: what is told of it and what was learned by use."""
 
-    __slots__ = ("id", "service", "address", "area", "region", "slots", "state", "sound", "cold_seq", "cold_until_ms",
-                 "outstanding", "idle", "open", "speed", "others", "others_ms", "eject_until_ms", "problems", "cold_sent",
+    __slots__ = ("id", "service", "address", "zone", "region", "slots", "state", "healthy", "cold_seq", "cold_until_ms",
+                 "outstanding", "idle", "open", "speed", "others", "others_ms", "eject_until_ms", "failures", "cold_sent",
                  "gone", "silent_since_ms", "answered_ms", "agreed_of", "agreed", "software")
 
-    def __init__(self, id, service, address, area, region, slots, software=""):
+    def __init__(self, id, service, address, zone, region, slots, software=""):
         self.id = id
         self.service = service
         self.address = address
-        self.area = area
+        self.zone = zone
         self.region = region
         self.slots = max(1, slots)
         self.state = READY
-        self.sound = True
+        self.healthy = True
         self.cold_seq = 0
         self.cold_until_ms = 0.0
         self.outstanding = 0
@@ -40,7 +40,7 @@
         self.others = 0.0
         self.others_ms = 0.0
         self.eject_until_ms = 0.0
-        self.problems = 0
+        self.failures = 0
         self.cold_sent = []
         self.gone = False
         self.silent_since_ms = 0.0
@@ -50,22 +50,22 @@
         self.software = software
 
     def took(self, now_ms):
-        """Counts a job that is given to the endpoint."""
+        """Counts a request that is given to the endpoint."""
         if self.outstanding == 0:
             self.silent_since_ms = now_ms
         self.outstanding += 1
 
     def gave(self, now_ms):
-        """Counts a job that the endpoint is done with."""
+        """Counts a request that the endpoint is done with."""
         self.outstanding -= 1
         self.silent_since_ms = now_ms
 
     def silent_ms(self, now_ms):
-        """For how long the endpoint has had jobs and given nothing back."""
+        """For how long the endpoint has had requests and given nothing back."""
         return now_ms - self.silent_since_ms if self.outstanding > 0 else 0.0
 
     def load(self, now_ms):
-        """Jobs thought to be at the endpoint now: this proxy's and, fading, what others had there."""
+        """Requests thought to be at the endpoint now: this proxy's and, fading, what others had there."""
         age_ms = now_ms - self.others_ms
         return self.outstanding + (self.others * max(0.0, 1.0 - age_ms / 1500.0) if self.others else 0.0)
 
@@ -76,18 +76,18 @@
 
     def failed(self, now_ms, base_ms, warmup_ms, outage):
         """Notes passive evidence against the endpoint: it rests for a while, and may come back cold."""
-        self.problems += 1
-        if outage or self.problems >= 3:
-            self.eject_until_ms = now_ms + base_ms * min(8, 2 ** max(0, self.problems - 1))
+        self.failures += 1
+        if outage or self.failures >= 3:
+            self.eject_until_ms = now_ms + base_ms * min(8, 2 ** max(0, self.failures - 1))
         if outage:
             self.cold_until_ms = max(self.cold_until_ms, self.eject_until_ms + warmup_ms)
 
     def served(self):
-        self.problems = 0
+        self.failures = 0
 
 
 class Chooser:
-    """Chooses among allowed endpoints by expected time, nearness and own outstanding jobs."""
+    """Chooses among allowed endpoints by expected time, nearness and own outstanding requests."""
 
     __slots__ = ("context", "work", "address", "rtt_ms", "bytes", "mean_bytes", "service_work", "policy", "lease",
                  "steering")
@@ -105,21 +105,21 @@
         self.steering = None
 
     def work_ms(self, route):
-        """What a job of this route takes at an endpoint of usual speed, as learned."""
+        """What a request of this route takes at an endpoint of usual speed, as learned."""
         return self.work.get(route.name) or route.target_ms * 0.25
 
     def weigh(self, route, size):
-        """Learns how many bytes a job of this route moves, against the mean of all jobs."""
+        """Learns how many bytes a request of this route moves, against the mean of all requests."""
         known = self.bytes.get(route.name)
         self.bytes[route.name] = size if known is None else known + 0.05 * (size - known)
         self.mean_bytes += 0.01 * (size - self.mean_bytes)
 
     def bulk(self, route):
-        """How dear it is to carry a job of this route far: its bytes against the mean, within bounds."""
+        """How dear it is to carry a request of this route far: its bytes against the mean, within bounds."""
         return min(3.0, max(0.3, self.bytes.get(route.name, self.mean_bytes) / self.mean_bytes))
 
     def learn(self, route, target, took_ms, was_queued):
-        """Learns from a served job."""
+        """Learns from a served request."""
         work = self.work_ms(route)
         rtt = self.rtt_ms.get(target.region)
         if target.region != self.context.settings.region:
@@ -134,19 +134,19 @@
         self.work[route.name] = work + 0.05 * (took_ms / target.speed - work)
 
     def connected(self, target, took_ms):
-        """Learns the way to a region from how long opening a stream took."""
+        """Learns the way to a region from how long opening a connection took."""
         known = self.rtt_ms.get(target.region)
         self.rtt_ms[target.region] = took_ms if known is None else known + 0.2 * (took_ms - known)
 
     def way_ms(self, target):
-        """About how long a job's bytes take to an endpoint."""
+        """About how long a request's bytes take to an endpoint."""
         if target.region == self.context.settings.region:
             return 0.0
         return self.rtt_ms.get(target.region, 0.0) / 2.0
 
-    def may_use_cold(self, target, digest, service, now_ms):
+    def may_use_cold(self, target, snapshot, service, now_ms):
         """While an endpoint is cold only few, agreed proxies use it, each with its share of what it bears."""
-        if not self.agreed(target, digest):
+        if not self.agreed(target, snapshot):
             return False
         target.cold_sent = [sent_ms for sent_ms in target.cold_sent if now_ms - sent_ms < 1100.0]
         bounds = self.context.settings.bounds
@@ -154,71 +154,71 @@
         share = max(1, int(min(service.cold_per_s, most) / COLD_PROXIES))
         return len(target.cold_sent) < share
 
-    def agreed(self, target, digest):
+    def agreed(self, target, snapshot):
         """True where this proxy is among the few that use the endpoint while it is cold; looked up once for each set of
         proxies, since a large fleet would be sorted for each cold endpoint at each request."""
-        if target.agreed_of is not digest.proxies:
-            target.agreed_of = digest.proxies
-            ranked = heapq.nsmallest(COLD_PROXIES, digest.proxies, key=lambda proxy: (
-                proxy[1] != target.area, proxy[2] != target.region, zlib.crc32(f"{target.id} {proxy[0]}".encode())))
+        if target.agreed_of is not snapshot.proxies:
+            target.agreed_of = snapshot.proxies
+            ranked = heapq.nsmallest(COLD_PROXIES, snapshot.proxies, key=lambda proxy: (
+                proxy[1] != target.zone, proxy[2] != target.region, zlib.crc32(f"{target.id} {proxy[0]}".encode())))
             target.agreed = any(proxy[0] == self.address for proxy in ranked)
         return target.agreed
 
-    def choose(self, job, digest, now_ms):
-        """The target for a job, or None; sets how long the best would take in `job.expectedMs`. Under a rollout a job of
+    def choose(self, request, snapshot, now_ms):
+        """The target for a request, or None; sets how long the best would take in `request.expectedMs`. Under a rollout a request of
         the new side that finds none there goes to the stable one."""
-        rollout = digest.rollouts.get(job.service) if digest.rollouts else None
-        targets = digest.targets.get(job.service, ())
+        rollout = snapshot.rollouts.get(request.service) if snapshot.rollouts else None
+        targets = snapshot.targets.get(request.service, ())
         if rollout is None:
-            return self.choose_steered(targets, job, digest, now_ms)
-        if self.lease.holds(now_ms) and rollout.side(job.split_key()):
-            target = self.choose_steered([t for t in targets if rollout.allows(1, t.software)], job, digest, now_ms)
+            return self.choose_steered(targets, request, snapshot, now_ms)
+        if self.lease.holds(now_ms) and rollout.side(request.split_key()):
+            target = self.choose_steered([t for t in targets if rollout.allows(1, t.software)], request, snapshot, now_ms)
             if target is not None:
                 return target
-        return self.choose_steered([t for t in targets if rollout.allows(0, t.software)], job, digest, now_ms)
+        return self.choose_steered([t for t in targets if rollout.allows(0, t.software)], request, snapshot, now_ms)
 
-    def choose_steered(self, targets, job, digest, now_ms):
-        """Where steering is on, the best target of the region that the job is steered to, if it has a free slot; else
+    def choose_steered(self, targets, request, snapshot, now_ms):
+        """Where steering is on, the best target of the region that the request is steered to, if it has a free slot; else
         the best of all."""
         if self.steering is None:
-            return self.choose_among(targets, job, digest, now_ms)
-        region = self.steered_to(job, targets, digest, now_ms)
-        target = self.choose_among([t for t in targets if t.region == region], job, digest, now_ms, region)
+            return self.choose_among(targets, request, snapshot, now_ms)
+        region = self.steered_to(request, targets, snapshot, now_ms)
+        target = self.choose_among([t for t in targets if t.region == region], request, snapshot, now_ms, region)
         if target is not None and target.load(now_ms) < target.slots:
             return target
-        return self.choose_among(targets, job, digest, now_ms, region)
+        return self.choose_among(targets, request, snapshot, now_ms, region)
 
-    def may_use(self, target, digest, now_ms):
+    def may_use(self, target, snapshot, now_ms):
         """Looks again, at the moment of writing, whether a rollout lets this endpoint take anything."""
-        rollout = digest.rollouts.get(target.service) if digest.rollouts else None
+        rollout = snapshot.rollouts.get(target.service) if snapshot.rollouts else None
         return (rollout is None or rollout.allows(0, target.software)
                 or rollout.allows(1, target.software) and self.lease.holds(now_ms))
 
-    def steered_to(self, job, targets, digest, now_ms):
-        """The region that this job is steered to, among those in which it may be served at all."""
+    def steered_to(self, request, targets, snapshot, now_ms):
+        """The region that this request is steered to, among those in which it may be served at all."""
         regions = {target.region for target in targets
-                   if target.state == READY and not target.gone and target.sound and target.area not in digest.evacuated
-                   and not any(target.region not in homes for homes in job.homes)}
-        return self.steering.choose(job.service, regions, self.work_ms(job.route), job.route.target_ms, self.bulk(job.route),
-                                    job.route.pure, now_ms, self.context.settings.bounds.contact_ms / 80.0)
+                   if target.state == READY and not target.gone and target.healthy and target.zone not in snapshot.evacuated
+                   and not any(target.region not in homes for homes in request.homes)}
+        return self.steering.choose(request.service, regions, self.work_ms(request.route), request.route.target_ms, self.bulk(request.route),
+                                    request.route.pure, now_ms, self.context.settings.bounds.contact_ms / 80.0)
 
-    def choose_among(self, targets, job, digest, now_ms, steered=None):
+    def choose_among(self, targets, request, snapshot, now_ms, steered=None):
         """The target with the least cost among these, or None."""
-        route = job.route
+        route = request.route
         settings = self.context.settings
         work = self.work_ms(route)
-        service = digest.services.get(job.service)
+        service = snapshot.services.get(request.service)
         if service is None:
             return None
-        mixed = self.service_work.get(job.service, work)
+        mixed = self.service_work.get(request.service, work)
         bulk = self.bulk(route)
-        left_ms = route.target_ms - (now_ms - job.start_ms)
+        left_ms = route.target_ms - (now_ms - request.start_ms)
         best, best_cost = None, None
-        job.expected_ms = None
-        share = max(2, service.max_conns // (len(digest.proxies) + 2))
+        request.expected_ms = None
+        share = max(2, service.max_conns // (len(snapshot.proxies) + 2))
         for target in targets:
-            if (target.state != READY or target.gone or not target.sound or target.area in digest.evacuated
-                    or target.id in job.tried or any(target.region not in homes for homes in job.homes)
+            if (target.state != READY or target.gone or not target.healthy or target.zone in snapshot.evacuated
+                    or target.id in request.tried or any(target.region not in homes for homes in request.homes)
                     or now_ms < target.eject_until_ms):
                 continue
             load = target.load(now_ms)
@@ -226,12 +226,12 @@
                 continue
             if not target.idle and target.open >= share:
                 continue
-            if now_ms < target.cold_until_ms and not self.may_use_cold(target, digest, service, now_ms):
+            if now_ms < target.cold_until_ms and not self.may_use_cold(target, snapshot, service, now_ms):
                 continue
             ahead = max(0.0, load + 1 - target.slots) / target.slots
             speed = target.speed
             if steered is not None and now_ms - target.answered_ms > self.steering.memory_ms:
-                speed = self.steering.slowness(job.service, target.region, now_ms)
+                speed = self.steering.slowness(request.service, target.region, now_ms)
             took_ms = speed * (work + mixed * ahead)
             if now_ms < target.cold_until_ms:
                 took_ms *= 2.0
@@ -241,18 +241,18 @@
                 took_ms += rtt if target.idle else 2 * rtt
                 cost = took_ms + (route.target_ms * REGION_COST * bulk if steered is None
                                  else self.steering.price_ms(target.region, route.target_ms, bulk))
-            elif target.area != settings.area:
-                cost = took_ms + route.target_ms * AREA_COST * bulk
+            elif target.zone != settings.zone:
+                cost = took_ms + route.target_ms * ZONE_COST * bulk
             if steered is not None and target.region != steered:
                 cost += route.target_ms * REGION_COST
-            if target.id == job.prefers:
+            if target.id == request.prefers:
                 cost *= KEEP_COST
             cost += SILENCE_COST * max(0.0, target.silent_ms(now_ms) - SILENCE_EXPECTED * mixed * target.speed)
             cost += max(0.0, took_ms * LATE_MARGIN - left_ms) * LATE_COST
             if self.policy is not None:
-                cost = self.policy.cost(job, target, cost, load)
+                cost = self.policy.cost(request, target, cost, load)
             cost *= 1.0 + 0.05 * self.context.random.random()
             if best_cost is None or cost < best_cost:
                 best, best_cost = target, cost
-                job.expected_ms = took_ms
+                request.expected_ms = took_ms
         return best
--- a/stagevale/balancing/policies.py
+++ b/stagevale/balancing/policies.py
@@ -3,7 +3,7 @@
 
 MEMORY_BYTES = 2 * 1024 * 1024
 STEPS = 2000
-PROBLEMS_BORNE = 20
+FAILURES_BORNE = 20
 GUARD = """
 local sethook, load, error, pcall, type = debug.sethook, load, error, pcall, type
 for _, name in ipairs({"rep", "find", "match", "gmatch", "gsub", "format", "dump"}) do string[name] = nil end
@@ -17,8 +17,8 @@
   return result
 end
 return function(source, steps)
-  local chunk, problem = load(source, "policy", "t", open)
-  if not chunk then error(problem, 0) end
+  local chunk, failure = load(source, "policy", "t", open)
+  if not chunk then error(failure, 0) end
   local policy = bounded(steps, chunk)
   if type(policy) ~= "function" then error("a policy must return a function", 0) end
   return function(...) return bounded(steps, policy, ...) end
@@ -26,44 +26,44 @@
 """
 
 
-class PolicyProblem(Exception):
+class PolicyFailure(Exception):
     """A policy that can't be used; the message says why."""
 
 
-def first_line(problem):
-    return (str(problem).splitlines() or ["out of memory"])[0]
+def first_line(failure):
+    return (str(failure).splitlines() or ["out of memory"])[0]
 
 
 class Policy:
-    """One policy, bounded in steps and memory; its problems fall back to the built-in cost."""
+    """One policy, bounded in steps and memory; its failures fall back to the built-in cost."""
 
-    __slots__ = ("lua", "call", "problems", "log")
+    __slots__ = ("lua", "call", "failures", "log")
 
     def __init__(self, source, log):
         self.log = log
-        self.problems = 0
+        self.failures = 0
         try:
             self.lua = lua54.LuaRuntime(max_memory=MEMORY_BYTES, register_eval=False, register_builtins=False)
             self.call = self.lua.execute(GUARD)(source, STEPS)
-        except (lua54.LuaError, MemoryError) as problem:
-            raise PolicyProblem(first_line(problem)) from None
+        except (lua54.LuaError, MemoryError) as failure:
+            raise PolicyFailure(first_line(failure)) from None
 
-    def cost(self, job, target, cost, load):
+    def cost(self, request, target, cost, load):
         """The policy's cost for this endpoint, or the built-in one where the policy fails."""
-        if self.problems >= PROBLEMS_BORNE:
+        if self.failures >= FAILURES_BORNE:
             return cost
         try:
-            own = self.call(self.lua.table(route=job.route.name, service=job.service, pure=job.route.pure,
-                                           priority=job.route.priority, target_ms=job.route.target_ms),
-                            self.lua.table(id=target.id, area=target.area, region=target.region, slots=target.slots,
+            own = self.call(self.lua.table(route=request.route.name, service=request.service, pure=request.route.pure,
+                                           priority=request.route.priority, target_ms=request.route.target_ms),
+                            self.lua.table(id=target.id, zone=target.zone, region=target.region, slots=target.slots,
                                            load=load, speed=target.speed, cost=cost))
             if isinstance(own, bool) or not isinstance(own, (int, float)) or not 0 <= own < 1e12:
-                raise PolicyProblem(f"want a cost from 0, got {own!r}")
+                raise PolicyFailure(f"want a cost from 0, got {own!r}")
             return float(own)
-        except (lua54.LuaError, MemoryError, PolicyProblem) as problem:
-            self.problems += 1
-            self.log.warning("policy: %s%s.", first_line(problem),
-                             "; it is left out from now on" if self.problems >= PROBLEMS_BORNE else "")
+        except (lua54.LuaError, MemoryError, PolicyFailure) as failure:
+            self.failures += 1
+            self.log.warning("policy: %s%s.", first_line(failure),
+                             "; it is left out from now on" if self.failures >= FAILURES_BORNE else "")
             return cost
 
 
@@ -72,9 +72,9 @@
     try:
         with open(path, encoding="utf-8") as file:
             source = file.read(64 * 1024)
-    except (OSError, UnicodeDecodeError) as problem:
-        raise PolicyProblem(f"{path}: can't be read: {problem}") from None
+    except (OSError, UnicodeDecodeError) as failure:
+        raise PolicyFailure(f"{path}: can't be read: {failure}") from None
     try:
         return Policy(source, log)
-    except PolicyProblem as problem:
-        raise PolicyProblem(f"{path}: {problem}") from None
+    except PolicyFailure as failure:
+        raise PolicyFailure(f"{path}: {failure}") from None
--- a/stagevale/balancing/digest.py
+++ b/stagevale/balancing/snapshot.py
@@ -1,4 +1,4 @@
-"""The proxy's digest: routes, services, evacuations and members at one moment, swapped whole."""
+"""The proxy's snapshot: routes, services, evacuations and members at one moment, swapped whole."""
 import json
 
 from stagevale.partners import NO_TABLE, merged_table
@@ -9,7 +9,7 @@
 
 
 class Affinity:
-    """How a route's sessions are told apart, and for how long their jobs are remembered."""
+    """How a route's sessions are told apart, and for how long their requests are remembered."""
 
     __slots__ = ("header", "keep_ms")
 
@@ -41,7 +41,7 @@
         self.total = sum(weight for _, weight in self.shares)
 
     def service(self, random):
-        """A service for one job, by weight."""
+        """A service for one request, by weight."""
         if len(self.shares) == 1:
             return self.shares[0][0]
         point = random.random() * self.total
@@ -76,7 +76,7 @@
         self.idle_ms = float(row.get("idleMs") or 15000)
 
 
-class Digest:
+class Snapshot:
     """Immutable: a change makes another one."""
 
     __slots__ = ("serial", "hosts", "services", "limits", "evacuated", "targets", "proxies", "keys", "partners", "sessions",
@@ -103,9 +103,9 @@
                 return route
         return None
 
-    def partner_route(self, host, path, area, region, tenant):
-        """The partner's route that takes a job for which no own route is there, or None."""
-        row = self.partners.find(host, path, area, region, tenant)
+    def partner_route(self, host, path, zone, region, tenant):
+        """The partner's route that takes a request for which no own route is there, or None."""
+        row = self.partners.find(host, path, zone, region, tenant)
         if row is None:
             return None
         if row.route is None:
@@ -114,9 +114,9 @@
         return row.route
 
     def with_(self, **changes):
-        """This digest with some things changed."""
-        fields = {name: getattr(self, name) for name in Digest.__slots__}
-        return Digest(**{**fields, **changes})
+        """This snapshot with some things changed."""
+        fields = {name: getattr(self, name) for name in Snapshot.__slots__}
+        return Snapshot(**{**fields, **changes})
 
     def with_targets(self, targets):
         return self.with_(targets=targets)
@@ -125,7 +125,7 @@
         return self.with_(proxies=proxies)
 
     def with_value(self, value):
-        """This digest with another epoch of the register's value."""
+        """This snapshot with another version of the register's value."""
         rollouts = None
         if value.rollouts:
             from stagevale.rollouts import read_rollouts
@@ -139,12 +139,12 @@
         for rows in hosts.values():
             rows.sort(key=lambda entry: -len(entry[0]))
         services = {row["name"]: Service(row) for row in table["services"]}
-        return Digest(value.serial, {host: tuple(rows) for host, rows in hosts.items()}, services,
+        return Snapshot(value.serial, {host: tuple(rows) for host, rows in hosts.items()}, services,
                       Limits(table.get("limits") or {}), frozenset(value.evacuated), self.targets, self.proxies,
                       read_keys(table.get("tenants")),
                       merged_table(table, value.offers) if value.offers else NO_TABLE, value.sessions, rollouts)
 
 
-def empty_digest():
+def empty_snapshot():
     """What a proxy holds before it has heard anything."""
-    return Digest(-1, {}, {}, Limits({}), frozenset(), {}, ())
+    return Snapshot(-1, {}, {}, Limits({}), frozenset(), {}, ())
--- a/stagevale/commands.py
+++ b/stagevale/commands.py
@@ -59,7 +59,7 @@
         print findings as JSON.
     """
     from stagevale import doctoring
-    from stagevale.settings import SettingsProblem, split_address
+    from stagevale.settings import SettingsFailure, split_address
     if not (settings or deploy or config or control):
         return misuse("doctor: name at least one of --settings, --deploy, --config, --control")
     if (directory or ready) and not control:
@@ -68,15 +68,15 @@
         for name, address in (("--control", control), ("--directory", directory), ("--ready", ready)):
             if address:
                 split_address(address, name)
-    except SettingsProblem as problem:
-        return misuse(f"doctor: {problem}")
+    except SettingsFailure as failure:
+        return misuse(f"doctor: {failure}")
     for name, path in (("--settings", settings), ("--deploy", deploy), ("--config", config)):
         if path:
             try:
                 with open(path, encoding="utf-8") as file:
                     file.read(1)
-            except (OSError, UnicodeDecodeError) as problem:
-                return misuse(f"doctor: {name}: {path} can't be read: {getattr(problem, 'strerror', None) or problem}")
+            except (OSError, UnicodeDecodeError) as failure:
+                return misuse(f"doctor: {name}: {path} can't be read: {getattr(failure, 'strerror', None) or failure}")
     found = []
     if settings:
         found += doctoring.check_settings(settings)
@@ -114,15 +114,15 @@
     """
     from stagevale import rehearsing
     from stagevale.doctoring import ask
-    from stagevale.settings import Bounds, SettingsProblem, split_address
+    from stagevale.settings import Bounds, SettingsFailure, split_address
     if not 1 <= seconds <= 600:
         return misuse(f"rehearse: --seconds: want 1 to 600, got {seconds}")
     stands, config = [], None
     for address in control:
         try:
             split_address(address, "--control")
-        except SettingsProblem as problem:
-            return misuse(f"rehearse: {problem}")
+        except SettingsFailure as failure:
+            return misuse(f"rehearse: {failure}")
         status, stand = ask(address, "/v1/stand")
         if status != 200 or not isinstance(stand, dict):
             return misuse(f"rehearse: {address}: no stand: {stand if status is None else status}")
@@ -134,26 +134,26 @@
     try:
         plan = rehearsing.Plan(stands, config, Bounds({}))
         table = rehearsing.report(plan, region, seconds, seed)
-    except rehearsing.RehearsalProblem as problem:
-        return misuse(f"rehearse: {problem}")
+    except rehearsing.RehearsalFailure as failure:
+        return misuse(f"rehearse: {failure}")
     hurt = [row for row in table["routes"] if row["lost"]["inAim"] < 0.9 or not row["homeLeft"]]
     if json_:
         print(json.dumps(table, indent=1))
         return FINDINGS if hurt else 0
-    print(f"Without {region}, modelled for {seconds} s beside the real traffic; no job was sent anywhere.")
+    print(f"Without {region}, modelled for {seconds} s beside the real traffic; no request was sent anywhere.")
     kind = None
     for row in table["routes"]:
         if row["kind"] != kind:
             kind = row["kind"]
             print(f"\n{kind}:")
         calm, lost = row["calm"], row["lost"]
-        print(f"  {row['route']}: in aim {lost['inAim']:.1%} (calm {calm['inAim']:.1%}), shed {lost['shed']:.1%}, "
-              f"most runs of a job {lost['mostRunsOfAJob']}")
+        print(f"  {row['route']}: in aim {lost['inAim']:.1%} (calm {calm['inAim']:.1%}), refuse {lost['refuse']:.1%}, "
+              f"most runs of a request {lost['mostRunsOfAJob']}")
         for name, shares in (("seen", row["seen"]), ("calm", calm["regions"]), ("lost", lost["regions"])):
             print(f"    {name:5} " + "  ".join(f"{place} {share:.0%}" for place, share in shares.items()))
         if not row["homeLeft"]:
             print(f"    no home is left: its homes are {', '.join(row['homes'])}")
-    print("\nfronts, jobs a second: " + "  ".join(f"{front} {per_s}" for front, per_s in table["fronts"].items()))
+    print("\nfronts, requests a second: " + "  ".join(f"{front} {per_s}" for front, per_s in table["fronts"].items()))
     return FINDINGS if hurt else 0
 
 
@@ -164,12 +164,12 @@
 def ask_controls(step, control, path, method="GET", body=None, timeout_s=10.0):
     """Asks one control address after the other until one gives a clear answer: (address, status, answer)."""
     from stagevale.doctoring import ask
-    from stagevale.settings import SettingsProblem, split_address
+    from stagevale.settings import SettingsFailure, split_address
     for address in control:
         try:
             split_address(address, "--control")
-        except SettingsProblem as problem:
-            return address, None, f"{step}: {problem}"
+        except SettingsFailure as failure:
+            return address, None, f"{step}: {failure}"
     for address in control:
         status, answer = ask(address, path, timeout_s, method, body)
         if status is not None and status not in (408, 429) and status < 500:
@@ -207,8 +207,8 @@
     try:
         with open(file, "rb") as handle:
             body = handle.read()
-    except OSError as problem:
-        return misuse(f"partners offer: {file} can't be read: {problem.strerror}")
+    except OSError as failure:
+        return misuse(f"partners offer: {file} can't be read: {failure.strerror}")
     outcome = ask_controls("partners offer", control, f"/v1/partners/{quote(name, safe='')}/offer", "PUT", body, 15.0)
     return order_outcome("partners offer", outcome, f"{name}: the offer is in force")
 
@@ -242,13 +242,13 @@
         print what was heard as JSON.
     """
     from stagevale.doctoring import ask
-    from stagevale.settings import SettingsProblem, split_address
+    from stagevale.settings import SettingsFailure, split_address
     heard, faults = {}, []
     for address in control:
         try:
             split_address(address, "--control")
-        except SettingsProblem as problem:
-            return misuse(f"partners show: {problem}")
+        except SettingsFailure as failure:
+            return misuse(f"partners show: {failure}")
         status, table = ask(address, "/v1/partners", 10.0)
         if status == 200 and isinstance(table, dict):
             heard[address] = table
@@ -261,15 +261,15 @@
     newest = max(heard.values(), key=lambda table: table["serial"])
     for address, table in heard.items():
         if table["mark"] != newest["mark"]:
-            faults.append(f"{address}: holds {table['mark']} of epoch {table['serial']}")
+            faults.append(f"{address}: holds {table['mark']} of version {table['serial']}")
         for row in table["proxies"] if newest["rows"] else ():
             if row["mark"] != newest["mark"]:
-                faults.append(f"proxy {row['address']}: " + (f"holds {row['mark']} of epoch {row['serial']}"
+                faults.append(f"proxy {row['address']}: " + (f"holds {row['mark']} of version {row['serial']}"
                                                              if row["mark"] else "has not said what it holds"))
     if json_:
         print(json.dumps({"table": newest, "faults": faults}, indent=1))
         return FINDINGS if faults else 0
-    print(f"table {newest['mark']}, epoch {newest['serial']}, {len(newest['rows'])} rows")
+    print(f"table {newest['mark']}, version {newest['serial']}, {len(newest['rows'])} rows")
     for row in newest["rows"]:
         print(f"  {'kept   ' if row['kept'] else 'dropped'} {row['host']}{row['pathPrefix']} of {row['partner']} "
               f"{row['offer']}: {row['reason']}")
@@ -287,15 +287,15 @@
     Parameters
     ----------
     host
-        the host of the job.
+        the host of the request.
     path
-        the path of the job.
+        the path of the request.
     control
         ip:port of a registry's control; more than one are tried in turn.
     zone
-        where the job comes in.
+        where the request comes in.
     tenant
-        whose job it is.
+        whose request it is.
     json_
         print the answer as JSON.
     """
@@ -438,12 +438,12 @@
         print the rows as JSON.
     """
     from stagevale.doctoring import ask
-    from stagevale.settings import SettingsProblem, split_address
+    from stagevale.settings import SettingsFailure, split_address
     rows, faults = [], []
     for address in control:
         try:
             split_address(address, "--control")
-        except SettingsProblem as failure:
+        except SettingsFailure as failure:
             return misuse(f"delays: {failure}")
         status, stand = ask(address, "/v1/stand")
         if status != 200 or not isinstance(stand, dict):
@@ -451,7 +451,7 @@
             continue
         for proxy in stand["proxies"]:
             if edge in ("", proxy["address"], proxy["front"]):
-                rows += [{"edge": proxy["address"], "zone": proxy["area"], **row} for row in proxy["delays"]
+                rows += [{"edge": proxy["address"], "zone": proxy["zone"], **row} for row in proxy["delays"]
                          if region in ("", row["region"])]
     if json_:
         print(json.dumps({"delays": rows, "faults": faults}, indent=1))
@@ -494,11 +494,11 @@
         print(json.dumps(answer, indent=1))
         return 0
     for record in answer["records"]:
-        print(f"epoch {record['epoch']}, held by {record['holder'] or 'nobody'}, kept by group {record['group']}")
+        print(f"version {record['version']}, held by {record['holder'] or 'nobody'}, kept by group {record['group']}")
         for service, endpoint in sorted(record["endpoints"].items()):
             print(f"  {service} at {endpoint}")
-        for job in record["jobs"]:
-            print(f"  key {job['key']}: {job['state']}, noted by {job['by']}, kept for {job['keptForS']} s")
+        for request in record["requests"]:
+            print(f"  key {request['key']}: {request['state']}, noted by {request['by']}, kept for {request['keptForS']} s")
     return 0
 
 
@@ -506,6 +506,6 @@
     """Runs one command; 2 for misuse."""
     try:
         code = cli(words, exit_on_error=False, print_error=False, result_action="return_value")
-    except CycloptsError as problem:
-        return misuse(str(problem))
+    except CycloptsError as failure:
+        return misuse(str(failure))
     return code if isinstance(code, int) else 0
--- a/stagevale/configuration/__init__.py
+++ b/stagevale/configuration/__init__.py
@@ -40,7 +40,7 @@
     __slots__ = ("context", "board", "membership", "disk", "promised", "accepted_ballot", "accepted", "wiped",
                  "loaded", "dirty", "saving", "save_waiters", "ballot", "chosen", "owner_ballot", "owner_heard_ms",
                  "electing", "queue", "busy", "unconfirmed", "seed_stores", "life", "timer", "beat_ms", "call_ms",
-                 "highest_round", "colleagues", "stopping", "tried_growth_ms", "gone_since_ms",
+                 "highest_round", "peers", "stopping", "tried_growth_ms", "gone_since_ms",
                  "narrowed_ms", "lost_since_ms", "settled_names", "settle_planned", "judge", "judging")
 
     def __init__(self, context, board, membership, disk):
@@ -69,7 +69,7 @@
         self.beat_ms = settings.bounds.contact_ms / 4.0
         self.call_ms = settings.bounds.ack_deadline_ms / 8.0
         self.highest_round = 0
-        self.colleagues = set()
+        self.peers = set()
         self.stopping = False
         self.tried_growth_ms = 0.0
         self.gone_since_ms = {}
@@ -89,20 +89,20 @@
         """Loads what the disk holds, then begins to vote."""
         self.context.disk(self.disk.load, self.on_loaded)
 
-    def on_loaded(self, record, problem):
+    def on_loaded(self, record, failure):
         settings = self.context.settings
-        if problem is not None:
-            self.context.log.error("%s: the disk can't be read: %s; trying again.", self.prefix, problem)
+        if failure is not None:
+            self.context.log.error("%s: the disk can't be read: %s; trying again.", self.prefix, failure)
             self.context.after(self.beat_ms, self.start)
             return
         if record is not None:
-            _, promised, accepted_ballot, packed, colleagues = wire.unpack(record, "load", "disk")
+            _, promised, accepted_ballot, packed, peers = wire.unpack(record, "load", "disk")
             self.promised = as_ballot(promised)
             self.accepted_ballot = as_ballot(accepted_ballot)
             self.accepted = self.read_value(packed) if packed else None
-            self.colleagues = set(colleagues)
-            self.membership.contacts.extend(sorted(self.colleagues))
-            self.context.log.info("%s: loaded epoch %d.", self.prefix, self.accepted.serial if self.accepted else 0)
+            self.peers = set(peers)
+            self.membership.contacts.extend(sorted(self.peers))
+            self.context.log.info("%s: loaded version %d.", self.prefix, self.accepted.serial if self.accepted else 0)
         elif not settings.first_start:
             self.wiped = True
             self.context.log.warning("%s: the disk is empty though this is no first start; learning first.",
@@ -116,7 +116,7 @@
 
     def record(self):
         return wire.pack([0, list(self.promised), list(self.accepted_ballot),
-                          self.accepted.packed if self.accepted else b"", sorted(self.colleagues)])
+                          self.accepted.packed if self.accepted else b"", sorted(self.peers)])
 
     def save(self, done):
         """Brings the memory's state to disk; `done(saved)` once a save that covers it has ended."""
@@ -136,12 +136,12 @@
         self.dirty, self.saving = False, True
         record = self.record()
 
-        def saved(_, problem):
+        def saved(_, failure):
             self.saving = False
-            if problem is not None:
-                self.context.log.error("%s: saving failed: %s.", self.prefix, problem)
+            if failure is not None:
+                self.context.log.error("%s: saving failed: %s.", self.prefix, failure)
             for done in waiters:
-                done(problem is None)
+                done(failure is None)
             self.next_save()
         self.context.disk(lambda: self.disk.save(record), saved)
 
@@ -197,11 +197,11 @@
         reply([self.loaded and not self.wiped, list(self.promised), list(self.accepted_ballot),
                self.accepted.packed if self.accepted else b""])
 
-    def ask_all(self, peers, kind, body, cutoff_ms, answered):
-        """Puts one question to several stores; `answered(peer, answer, problem)` is called for each."""
+    def ask_all(self, peers, kind, body, deadline_ms, answered):
+        """Puts one question to several stores; `answered(peer, answer, failure)` is called for each."""
         for peer in peers:
-            self.board.call(peer, self.kinds + kind, body, cutoff_ms,
-                            lambda answer, problem, peer=peer: answered(peer, answer, problem))
+            self.board.call(peer, self.kinds + kind, body, deadline_ms,
+                            lambda answer, failure, peer=peer: answered(peer, answer, failure))
 
     # owning
 
@@ -210,8 +210,8 @@
         now_ms = self.context.now_ms()
         known = {f"{member.machine}:{self.context.settings.inner_ports[0]}"
                  for member in self.membership.others() if member.core}
-        if known - self.colleagues:
-            self.colleagues |= known
+        if known - self.peers:
+            self.peers |= known
             self.save(lambda done: None)
         if self.wiped:
             self.catch_up()
@@ -244,10 +244,10 @@
         best = [NO_BALLOT, None]
         running = self.electing
 
-        def answered(peer, answer, problem):
+        def answered(peer, answer, failure):
             if running.over:
                 return
-            if problem is not None or answer is None:
+            if failure is not None or answer is None:
                 running.count(peer, False, NO_BALLOT)
             else:
                 promised, highest, accepted_ballot, packed = answer
@@ -285,7 +285,7 @@
         self.ballot = ballot
         self.narrowed_ms = self.context.now_ms()
         self.busy = True
-        self.context.log.info("%s: won the %s duty, round %d, epoch %d.", self.prefix, self.duty, ballot[0],
+        self.context.log.info("%s: won the %s duty, round %d, version %d.", self.prefix, self.duty, ballot[0],
                               value.serial)
         self.accept(value, self.claimed(value), lambda chosen: self.pump())
 
@@ -318,10 +318,10 @@
         everyone = tuple(dict.fromkeys(before.group + value.group))
         running = Round(ballot, everyone)
 
-        def answered(peer, answer, problem):
+        def answered(peer, answer, failure):
             if running.over:
                 return
-            if problem is not None or answer is None:
+            if failure is not None or answer is None:
                 running.count(peer, False, NO_BALLOT)
             else:
                 running.count(peer, answer[0], as_ballot(answer[1]))
@@ -355,10 +355,10 @@
         group = self.chosen.group if self.chosen else self.group()
         running = Round(ballot, group)
 
-        def answered(peer, answer, problem):
+        def answered(peer, answer, failure):
             if running.over:
                 return
-            if problem is not None or answer is None:
+            if failure is not None or answer is None:
                 running.count(peer, False, NO_BALLOT)
             else:
                 running.count(peer, answer[0], as_ballot(answer[1]))
@@ -368,7 +368,7 @@
             elif len(running.yes) + len(running.no) == len(group) or running.lost():
                 running.over = True
                 if running.highest > ballot and self.ballot == ballot:
-                    self.step_down("a colleague has promised a higher ballot")
+                    self.step_down("a peer has promised a higher ballot")
                 done(False)
 
         self.ask_all(group, wire.CONFIRM, [list(ballot)], self.call_ms, answered)
@@ -436,8 +436,8 @@
         self.tried_growth_ms = now_ms
         comer, leaver = outside[0].address, gone[0] if gone else None
 
-        def learned(answer, problem):
-            if problem is not None or not answer[0] or self.busy or self.chosen is None or self.ballot is None:
+        def learned(answer, failure):
+            if failure is not None or not answer[0] or self.busy or self.chosen is None or self.ballot is None:
                 return
             if self.chosen.group != group:
                 return
@@ -470,27 +470,27 @@
             self.busy = True
             self.accept(value, value.after(sessions=after), lambda chosen: self.pump())
             return
-        for name, (epoch, group, before) in value.sessions.items():
+        for name, (version, group, before) in value.sessions.items():
             if before:
-                self.settle_sessions(name, epoch, group)
+                self.settle_sessions(name, version, group)
 
-    def settle_sessions(self, name, epoch, group):
+    def settle_sessions(self, name, version, group):
         """Asks a changed group whether a majority has learned; all of those that have are settled in one change."""
         ready = set()
 
-        def answered(peer, answer, problem):
-            if problem is None and answer:
+        def answered(peer, answer, failure):
+            if failure is None and answer:
                 ready.add(peer)
             value = self.chosen
             if len(ready) < majority(len(group)) or self.busy or self.ballot is None or value is None:
                 return
-            self.settled_names.add((name, epoch))
+            self.settled_names.add((name, version))
             if not self.settle_planned:
                 self.settle_planned = True
                 self.context.after(self.call_ms / 4.0, self.settle_all)
         for peer in group:
-            self.board.call(peer, wire.SESSION_READY, [name, epoch], self.call_ms,
-                            lambda answer, problem, peer=peer: answered(peer, answer, problem))
+            self.board.call(peer, wire.SESSION_READY, [name, version], self.call_ms,
+                            lambda answer, failure, peer=peer: answered(peer, answer, failure))
 
     def settle_all(self):
         self.settle_planned = False
@@ -513,7 +513,7 @@
         for members in regions.values():
             members.sort(key=lambda member: member.machine != self.membership.me.machine)
             self.board.cast(members[0].address, wire.CHOSEN, [value.packed, [m.address for m in members[1:]]])
-        for address in self.colleagues:
+        for address in self.peers:
             if address not in self.membership.state.members:
                 self.board.cast(address, wire.CHOSEN, [value.packed, []])
 
@@ -576,11 +576,11 @@
         others = [address for address in self.group() if address != self.board.address]
         silent = set(others)
 
-        def heard(peer, answer, problem):
+        def heard(peer, answer, failure):
             if not silent:
                 return
             silent.discard(peer)
-            if problem is None and answer and answer[0]:
+            if failure is None and answer and answer[0]:
                 silent.clear()
                 self.believe(as_ballot(answer[1]), 0.0)
             if not silent:
@@ -596,13 +596,13 @@
         reply([self.owner() is not None, list(ballot)])
 
     def pass_on(self, owner, waiting):
-        def answered(answer, problem):
-            if problem is None and answer is not None and answer[0] != 503:
+        def answered(answer, failure):
+            if failure is None and answer is not None and answer[0] != 503:
                 waiting.reply(answer)
                 return
             if self.in_group() and not self.wiped and self.loaded and waiting.expires_ms > self.context.now_ms():
                 silent_ms = self.context.now_ms() - self.owner_heard_ms
-                if problem == "no answer in time" and silent_ms < self.beat_ms * 1.3:
+                if failure == "no answer in time" and silent_ms < self.beat_ms * 1.3:
                     waiting.reply([503, "the owner is slow"])
                     return
                 if self.owner_ballot[1].partition("#")[0] == owner:
@@ -657,7 +657,7 @@
             self.busy = True
             self.finish([waiting], [200, self.rollouts_shown()])
             return
-        outcome = decide(value, waiting.order, waiting.payload, self.context.settings.areas)
+        outcome = decide(value, waiting.order, waiting.payload, self.context.settings.zones)
         self.busy = True
         if outcome.value is None:
             answer = [outcome.status, outcome.text]
@@ -769,8 +769,8 @@
         known.discard(self.board.address)
         answers = {}
 
-        def learned(peer, answer, problem):
-            if problem is not None or not self.wiped or not answer[0]:
+        def learned(peer, answer, failure):
+            if failure is not None or not self.wiped or not answer[0]:
                 return
             answers[peer] = answer
             newest = max(answers.values(), key=lambda got: (as_ballot(got[2]), self.read_value(got[3]).serial if got[3] else -1))
@@ -783,7 +783,7 @@
             self.accepted_ballot = as_ballot(newest[2])
             self.accepted = value
             self.highest_round = max(self.highest_round, self.promised[0])
-            self.context.log.info("%s: learned epoch %d from a majority; voting again.", self.prefix,
+            self.context.log.info("%s: learned version %d from a majority; voting again.", self.prefix,
                                   value.serial if value else 0)
             self.save(lambda done: None)
         self.ask_all(known, wire.LEARN, [], self.call_ms, learned)
--- a/stagevale/configuration/checking.py
+++ b/stagevale/configuration/checking.py
@@ -5,10 +5,10 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.tenants import tenants_problem
+from stagevale.tenants import tenants_failure
 
 
-class ConfigProblem:
+class ConfigFailure:
     """Why a configuration can't be taken: the HTTP status and a reason that names the place."""
 
     __slots__ = ("status", "reason")
@@ -34,8 +34,8 @@
 def check_version(value):
     try:
         return version_number(value)
-    except ValueError as problem:
-        raise t.DataError(str(problem))
+    except ValueError as failure:
+        raise t.DataError(str(failure))
 
 
 def check_prefix(value):
@@ -100,33 +100,33 @@
     """
     try:
         raw = json.loads(text)
-    except (ValueError, RecursionError) as problem:
-        return Error(ConfigProblem(400, f"not JSON: {problem}"))
+    except (ValueError, RecursionError) as failure:
+        return Error(ConfigFailure(400, f"not JSON: {failure}"))
     try:
         table = CONFIG.check(raw)
-    except t.DataError as problem:
-        return Error(ConfigProblem(400, json.dumps(problem.as_dict(), default=str)))
+    except t.DataError as failure:
+        return Error(ConfigFailure(400, json.dumps(failure.as_dict(), default=str)))
     known = {service["name"] for service in table["services"]}
     places = set()
     for number, route in enumerate(table["routes"]):
         where = route.get("name") or f"routes[{number}]"
         place = route["host"].lower(), route["pathPrefix"]
         if place in places:
-            return Error(ConfigProblem(400, f"{where}: another route has this host and prefix"))
+            return Error(ConfigFailure(400, f"{where}: another route has this host and prefix"))
         places.add(place)
         targets = [route["service"]] if route.get("service") else []
         if route.get("weighted"):
             targets += [part["service"] for part in route["weighted"]]
             if sum(part["weight"] for part in route["weighted"]) <= 0:
-                return Error(ConfigProblem(400, f"{where}: no weight above 0"))
+                return Error(ConfigFailure(400, f"{where}: no weight above 0"))
         if not targets:
-            return Error(ConfigProblem(400, f"{where}: no service"))
+            return Error(ConfigFailure(400, f"{where}: no service"))
         for target in targets:
             if target not in known:
-                return Error(ConfigProblem(400, f"{where}: unknown service {target}"))
-    problem = tenants_problem(table.get("tenants") or (), regions)
-    if problem:
-        return Error(ConfigProblem(400, problem))
+                return Error(ConfigFailure(400, f"{where}: unknown service {target}"))
+    failure = tenants_failure(table.get("tenants") or (), regions)
+    if failure:
+        return Error(ConfigFailure(400, failure))
     return Ok(table)
 
 
--- a/stagevale/configuration/orders.py
+++ b/stagevale/configuration/orders.py
@@ -1,5 +1,5 @@
 """What each order of the operator does to the register's value."""
-from stagevale.configuration.checking import ConfigProblem, fingerprint, read_config
+from stagevale.configuration.checking import ConfigFailure, fingerprint, read_config
 
 REPLACE, EVACUATE, TAKE_BACK, READ = "replace", "evacuate", "takeBack", "read"
 OFFER, WITHDRAW, READ_OFFER, SERIAL = "offer", "withdraw", "readOffer", "serial"
@@ -17,7 +17,7 @@
         self.value = value
 
 
-def decide(value, order, payload, areas):
+def decide(value, order, payload, zones):
     """The outcome of an order on top of the chosen value; the value stays as it is."""
     if order == READ:
         return Outcome(200, value.config) if value.config else Outcome(404, "no configuration yet")
@@ -34,16 +34,16 @@
     if order in (OFFER, WITHDRAW, READ_OFFER):
         from stagevale.partners import checking
         if order == OFFER:
-            return checking.offered(value, payload, areas, Outcome)
+            return checking.offered(value, payload, zones, Outcome)
         return (checking.withdrawn if order == WITHDRAW else checking.read_back)(value, payload, Outcome)
     if order in (START_ROLLOUT, MOVE_ROLLOUT):
         from stagevale.rollouts import checking
         return (checking.started if order == START_ROLLOUT else checking.moved)(value, payload, Outcome)
     if order == REPLACE:
-        checked = read_config(payload, frozenset(areas.values()))
+        checked = read_config(payload, frozenset(zones.values()))
         if checked.is_error():
-            problem: ConfigProblem = checked.error
-            return Outcome(problem.status, problem.reason)
+            failure: ConfigFailure = checked.error
+            return Outcome(failure.status, failure.reason)
         table = checked.ok
         version, parent, hashed = table["version"], table["parentVersion"], fingerprint(payload)
         if value.taken.get(str(version)) == hashed:
--- a/stagevale/configuration/value.py
+++ b/stagevale/configuration/value.py
@@ -3,7 +3,7 @@
 
 
 class Value:
-    """One epoch of the register. Immutable by custom."""
+    """One version of the register. Immutable by custom."""
 
     __slots__ = ("serial", "version", "config", "evacuated", "group", "taken", "offers", "sessions", "rollouts", "packed")
 
@@ -21,7 +21,7 @@
         more = []
         if self.offers or self.sessions or self.rollouts:
             more = [{name: [version, text] for name, (version, text) in self.offers.items()},
-                    {name: [epoch, list(group), list(before)] for name, (epoch, group, before) in self.sessions.items()}]
+                    {name: [session_version, list(group), list(before)] for name, (session_version, group, before) in self.sessions.items()}]
         if self.rollouts:
             more.append(self.rollouts)
         self.packed = packed or wire.squeeze(wire.pack(
@@ -29,7 +29,7 @@
 
     def after(self, version=None, config=None, evacuated=None, group=None, taken=None, offers=None, sessions=None,
               rollouts=None):
-        """The next epoch with these things changed."""
+        """The next version with these things changed."""
         return Value(self.serial + 1,
                      self.version if version is None else version,
                      self.config if config is None else config,
@@ -44,7 +44,7 @@
 def read_value(packed):
     """A value out of its packed bytes."""
     _, serial, version, config, evacuated, group, taken, *more = wire.unpack(wire.unsqueeze(packed), "value",
-                                                                            "a colleague")
+                                                                            "a peer")
     offers = {name: (row[0], row[1]) for name, row in more[0].items()} if more else {}
     sessions = {name: (row[0], tuple(row[1]), tuple(row[2])) for name, row in more[1].items()} if more else {}
     rollouts = dict(more[2]) if len(more) > 2 else {}
--- a/stagevale/context/__init__.py
+++ b/stagevale/context/__init__.py
@@ -38,7 +38,7 @@
         self.loop.call_soon(call, *args)
 
     def connect(self, address, protocol, failed, timeout_ms, silence_ms):
-        """Opens a stream to (ip, port) for `protocol`; `failed(problem)` is called where that doesn't come about."""
+        """Opens a connection to (ip, port) for `protocol`; `failed(failure)` is called where that doesn't come about."""
         task = self.loop.create_task(self.open(address, protocol, timeout_ms, silence_ms))
         self.tasks.add(task)
 
@@ -63,7 +63,7 @@
             raise
 
     def listen(self, address, factory, ready=None):
-        """Listens at (ip, port); each new stream gets the protocol that `factory()` makes."""
+        """Listens at (ip, port); each new connection gets the protocol that `factory()` makes."""
         async def start():
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -79,7 +79,7 @@
         return self.loop.create_task(self.loop.create_datagram_endpoint(lambda: protocol, local_addr=address))
 
     def disk(self, work, done):
-        """Runs `work()` on the one disk thread, then `done(result, problem)` on the loop."""
+        """Runs `work()` on the one disk thread, then `done(result, failure)` on the loop."""
         if self.disk_queue is None:
             self.disk_queue = queue.SimpleQueue()
             threading.Thread(target=self.disk_thread, daemon=True, name="disk").start()
@@ -89,17 +89,17 @@
         while True:
             work, done = self.disk_queue.get()
             try:
-                result, problem = work(), None
+                result, failure = work(), None
             except Exception as caught:
-                result, problem = None, caught
+                result, failure = None, caught
             try:
-                self.loop.call_soon_threadsafe(done, result, problem)
+                self.loop.call_soon_threadsafe(done, result, failure)
             except RuntimeError:
                 return
 
 
 def tune_socket(sock, silence_ms):
-    """Makes a stream notice within `silenceMs` that its other end is gone."""
+    """Makes a connection notice within `silenceMs` that its other end is gone."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for level, option, value in (
             (socket.IPPROTO_TCP, getattr(socket, "TCP_USER_TIMEOUT", 18), int(silence_ms)),
--- a/stagevale/doctoring/__init__.py
+++ b/stagevale/doctoring/__init__.py
@@ -5,7 +5,7 @@
 import tomllib
 
 from stagevale.configuration.checking import read_config
-from stagevale.settings import SettingsProblem, load_settings, split_address
+from stagevale.settings import SettingsFailure, load_settings, split_address
 
 DELAYS_APART = 3.0
 
@@ -27,15 +27,15 @@
 def ask(address, path, timeout_s=3.0, method="GET", body=None):
     """One call at ip:port, a GET unless said otherwise; returns (status, parsed JSON or None), or (None, reason) where no answer comes."""
     ip, port = split_address(address, "address")
-    stream = http.client.HTTPConnection(ip, port, timeout=timeout_s)
+    connection = http.client.HTTPConnection(ip, port, timeout=timeout_s)
     try:
-        stream.request(method, path, body)
-        answer = stream.getresponse()
+        connection.request(method, path, body)
+        answer = connection.getresponse()
         data = answer.read(64 * 1024 * 1024)
-    except (OSError, http.client.HTTPException) as problem:
-        return None, str(problem) or type(problem).__name__
+    except (OSError, http.client.HTTPException) as failure:
+        return None, str(failure) or type(failure).__name__
     finally:
-        stream.close()
+        connection.close()
     try:
         return answer.status, json.loads(data)
     except ValueError:
@@ -46,11 +46,11 @@
     """Faults of a settings file."""
     try:
         settings = load_settings(path)
-    except SettingsProblem as problem:
-        return [Finding(path, str(problem), "mend the field that is named; the daemons refuse to start on it")]
+    except SettingsFailure as failure:
+        return [Finding(path, str(failure), "mend the field that is named; the daemons refuse to start on it")]
     found = []
     if not settings.seeds:
-        found.append(Finding(path, "streams.seeds is empty", "name up to three core machines' control addresses"))
+        found.append(Finding(path, "connections.seeds is empty", "name up to three core machines' control addresses"))
     if settings.bounds.drain_cutoff_ms < settings.bounds.contact_ms / 4:
         found.append(Finding(path, "bounds.drainCutoffMs is below a round of the registries (contactMs / 4)",
                              "raise drainCutoffMs or lower contactMs"))
@@ -60,11 +60,11 @@
     if settings.listen.get("control") and not settings.data_path and settings.machine_class == "core":
         found.append(Finding(path, "a core machine without daemon.dataPath", "give it a folder on its disk"))
     if settings.policy_path:
-        from stagevale.balancing.policies import PolicyProblem, load_policy
+        from stagevale.balancing.policies import PolicyFailure, load_policy
         try:
             load_policy(settings.policy_path, None)
-        except PolicyProblem as problem:
-            found.append(Finding(path, f"policy.path: {problem}", "mend the policy, or drop the line"))
+        except PolicyFailure as failure:
+            found.append(Finding(path, f"policy.path: {failure}", "mend the policy, or drop the line"))
     if settings.data_path and not os.access(settings.data_path, os.W_OK):
         found.append(Finding(path, f"daemon.dataPath {settings.data_path} can't be written", "create it, or its rights"))
     return found
@@ -75,8 +75,8 @@
     try:
         with open(path, "rb") as file:
             table = tomllib.load(file)
-    except (OSError, tomllib.TOMLDecodeError) as problem:
-        return [Finding(path, f"can't be read: {problem}", "mend the file")]
+    except (OSError, tomllib.TOMLDecodeError) as failure:
+        return [Finding(path, f"can't be read: {failure}", "mend the file")]
     found = []
     roles = table.get("roles", {})
     if not isinstance(roles, dict):
@@ -109,8 +109,8 @@
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
-    except (OSError, UnicodeDecodeError) as problem:
-        return [Finding(path, f"can't be read: {problem}", "name a readable file")]
+    except (OSError, UnicodeDecodeError) as failure:
+        return [Finding(path, f"can't be read: {failure}", "name a readable file")]
     checked = read_config(text)
     if checked.is_error():
         return [Finding(path, checked.error.reason, "the store would answer 400; mend the place that is named")]
@@ -184,14 +184,14 @@
                                      "way? without a change, restart this edge"))
     if stand.get("evacuated"):
         found.append(Finding(control, f"evacuated: {', '.join(stand['evacuated'])}", "take back what is meant to serve"))
-    sound = {}
+    healthy = {}
     for endpoint in stand.get("endpoints", ()):
         if endpoint["state"] == "ready":
-            sound.setdefault(endpoint["service"], []).append(endpoint["sound"])
-    for service, marks in sorted(sound.items()):
+            healthy.setdefault(endpoint["service"], []).append(endpoint["healthy"])
+    for service, marks in sorted(healthy.items()):
         if not any(marks):
-            found.append(Finding(service, "no endpoint is sound", "their beats don't arrive; are they running?"))
+            found.append(Finding(service, "no endpoint is healthy", "their beats don't arrive; are they running?"))
         elif sum(marks) * 2 < len(marks):
-            found.append(Finding(service, f"only {sum(marks)} of {len(marks)} endpoints are sound",
+            found.append(Finding(service, f"only {sum(marks)} of {len(marks)} endpoints are healthy",
                                  "look at those that are not"))
     return found
--- a/stagevale/duties/__init__.py
+++ b/stagevale/duties/__init__.py
@@ -15,7 +15,7 @@
 
 
 class DutyValue:
-    """One epoch of the duties' register: who holds the duty, under which fence, and what is chosen to be sent."""
+    """One version of the duties' register: who holds the duty, under which fence, and what is chosen to be sent."""
 
     __slots__ = ("serial", "fence", "holder", "group", "pending", "through", "packed")
 
@@ -30,7 +30,7 @@
             [0, serial, fence, holder, list(self.group), [list(row) for row in self.pending], through]))
 
     def after(self, fence=None, holder=None, group=None, pending=None, through=None):
-        """The next epoch with these things changed."""
+        """The next version with these things changed."""
         return DutyValue(self.serial + 1,
                          self.fence if fence is None else fence,
                          self.holder if holder is None else holder,
@@ -41,7 +41,7 @@
 
 def read_duty_value(packed):
     """A value out of its packed bytes."""
-    _, serial, fence, holder, group, pending, through = wire.unpack(wire.unsqueeze(packed), "duties", "a colleague")
+    _, serial, fence, holder, group, pending, through = wire.unpack(wire.unsqueeze(packed), "duties", "a peer")
     return DutyValue(serial, fence, holder, group, pending, through, packed)
 
 
@@ -121,11 +121,11 @@
         others = [address for address in group if address != self.board.address]
         silent = set(others)
 
-        def heard(peer, answer, problem):
+        def heard(peer, answer, failure):
             if not self.asking:
                 return
             silent.discard(peer)
-            if problem is None and answer and answer[0] and self.owner_heard_ms > VACATED:
+            if failure is None and answer and answer[0] and self.owner_heard_ms > VACATED:
                 self.asking = False
                 self.believe(as_ballot(answer[1]), 0.0)
                 self.owner_heard_ms = self.context.now_ms()
@@ -242,10 +242,10 @@
         answers, silent = {}, set()
         peers = [member.address for member in self.membership.members("registry")
                  if self.membership.reachable(member.address)]
-        cutoff_ms = self.context.settings.bounds.contact_ms / 5.0
+        deadline_ms = self.context.settings.bounds.contact_ms / 5.0
 
-        def answered(peer, answer, problem):
-            if problem is None and answer is not None:
+        def answered(peer, answer, failure):
+            if failure is None and answer is not None:
                 answers[peer] = answer
             else:
                 silent.add(peer)
@@ -261,16 +261,16 @@
                 return
             self.resolve_twice(window, answers, twice, len(holders), not silent)
         for peer in peers:
-            self.board.call(peer, wire.COUNTS_WANTED, [window, 0], cutoff_ms,
-                            lambda answer, problem, peer=peer: answered(peer, answer, problem))
+            self.board.call(peer, wire.COUNTS_WANTED, [window, 0], deadline_ms,
+                            lambda answer, failure, peer=peer: answered(peer, answer, failure))
 
     def resolve_twice(self, window, answers, twice, proxies, whole):
         """Some proxies told two registries: these give their counts proxy by proxy, and the later word counts."""
         rows, waiting = {}, set(twice)
 
-        def answered(peer, answer, problem):
+        def answered(peer, answer, failure):
             waiting.discard(peer)
-            if problem is None and answer is not None:
+            if failure is None and answer is not None:
                 for proxy, upto_ms, text in answer[3]:
                     if proxy not in rows or upto_ms > rows[proxy][0]:
                         rows[proxy] = (upto_ms, text)
@@ -281,7 +281,7 @@
                 self.counted(window, answers, rows, proxies, whole)
         for peer in twice:
             self.board.call(peer, wire.COUNTS_WANTED, [window, 1], self.context.settings.bounds.contact_ms / 5.0,
-                            lambda answer, problem, peer=peer: answered(peer, answer, problem))
+                            lambda answer, failure, peer=peer: answered(peer, answer, failure))
 
     def counted(self, window, answers, rows, proxies, whole):
         """All that can be had of a window's counts is here: they are chosen, unless more is worth waiting for."""
@@ -351,11 +351,11 @@
             self.not_before_ms = self.acted_ms + self.context.settings.bounds.lease_ms * 1.25
             return
 
-        def done(status, problem):
+        def done(status, failure):
             if self.calling is not call:
                 return
             self.calling = None
-            self.outcome(window, fence, status, problem)
+            self.outcome(window, fence, status, failure)
 
         def wrote():
             self.acted_ms = self.context.now_ms()
@@ -365,7 +365,7 @@
         self.calling = call
         call.open()
 
-    def outcome(self, window, fence, status, problem):
+    def outcome(self, window, fence, status, failure):
         """What a call came to; an unclear one is repeated as it was."""
         now_ms = self.context.now_ms()
         bounds = self.context.settings.bounds
@@ -378,7 +378,7 @@
             self.context.soon(self.send)
             return
         self.context.log.info("duties: window %d under fence %d: %s.", window, fence,
-                              f"the platform answers {status}" if status is not None else problem)
+                              f"the platform answers {status}" if status is not None else failure)
         self.not_before_ms = now_ms + self.pause_ms
         self.pause_ms = min(self.pause_ms * 1.6, bounds.usage_delay_s * 200.0)
         if status == 409:
--- a/stagevale/duties/counts.py
+++ b/stagevale/duties/counts.py
@@ -1,4 +1,4 @@
-"""Counts of jobs per tenant and window: cumulative per life of a proxy, so that no word counts twice."""
+"""Counts of requests per tenant and window: cumulative per life of a proxy, so that no word counts twice."""
 import json
 import zlib
 
@@ -28,7 +28,7 @@
         return now_ms + self.offset_ms if self.offset_ms is not None else 0.0
 
     def began(self, tenant, now_ms):
-        """Counts a job that an endpoint begins now; returns its window, or None before the time is known."""
+        """Counts a request that an endpoint begins now; returns its window, or None before the time is known."""
         if self.offset_ms is None:
             return None
         window = int((now_ms + self.offset_ms) // self.window_ms)
@@ -36,7 +36,7 @@
         return window
 
     def undo(self, window, tenant):
-        """The job turned out not to have run."""
+        """The request turned out not to have run."""
         self.add(window, tenant, -1)
 
     def add(self, window, tenant, number):
--- a/stagevale/duties/platform.py
+++ b/stagevale/duties/platform.py
@@ -1,16 +1,16 @@
-"""One call to the platform: its own stream, its own timer, and a last check before the first byte."""
+"""One call to the platform: its own connection, its own timer, and a last check before the first byte."""
 import asyncio
 
 import h11
 
 
 class PlatformCall(asyncio.Protocol):
-    """Sends one report. The duty is confirmed after the stream is open and right before anything is written."""
+    """Sends one report. The duty is confirmed after the connection is open and right before anything is written."""
 
-    __slots__ = ("context", "path", "text", "holder", "fence", "check", "wrote", "done", "cutoff_ms", "transport",
+    __slots__ = ("context", "path", "text", "holder", "fence", "check", "wrote", "done", "deadline_ms", "transport",
                  "parser", "status", "over", "timer")
 
-    def __init__(self, context, path, text, holder, fence, check, wrote, done, cutoff_ms):
+    def __init__(self, context, path, text, holder, fence, check, wrote, done, deadline_ms):
         self.context = context
         self.path = path
         self.text = text
@@ -19,7 +19,7 @@
         self.check = check
         self.wrote = wrote
         self.done = done
-        self.cutoff_ms = cutoff_ms
+        self.deadline_ms = deadline_ms
         self.transport = None
         self.parser = h11.Connection(h11.CLIENT)
         self.status = None
@@ -27,20 +27,20 @@
         self.timer = None
 
     def open(self):
-        """Opens the stream; `done(status, problem)` is called exactly once."""
-        self.timer = self.context.after(self.cutoff_ms, self.finish, None, "no answer in time")
+        """Opens the connection; `done(status, failure)` is called exactly once."""
+        self.timer = self.context.after(self.deadline_ms, self.finish, None, "no answer in time")
         self.context.connect(self.context.settings.platform, self,
-                             lambda problem: self.finish(None, f"no stream to the platform: {problem!r}"),
-                             self.cutoff_ms / 2.0, self.cutoff_ms)
+                             lambda failure: self.finish(None, f"no connection to the platform: {failure!r}"),
+                             self.deadline_ms / 2.0, self.deadline_ms)
 
-    def finish(self, status, problem):
+    def finish(self, status, failure):
         if self.over:
             return
         self.over = True
         self.timer.cancel()
         if self.transport is not None:
             self.transport.abort()
-        self.done(status, problem)
+        self.done(status, failure)
 
     def connection_made(self, transport):
         self.transport = transport
@@ -51,7 +51,7 @@
 
     def write(self):
         if self.over or self.transport.is_closing():
-            self.finish(None, "the stream closed before the call")
+            self.finish(None, "the connection closed before the call")
             return
         body = self.text.encode()
         address = self.context.settings.platform
@@ -74,12 +74,12 @@
                     self.finish(self.status, None)
                 elif isinstance(event, h11.ConnectionClosed):
                     self.finish(None, "closed before an answer")
-        except h11.ProtocolError as problem:
-            self.finish(None, f"no answer in the protocol: {problem}")
+        except h11.ProtocolError as failure:
+            self.finish(None, f"no answer in the protocol: {failure}")
 
     def eof_received(self):
         self.data_received(b"")
         return False
 
-    def connection_lost(self, problem):
-        self.finish(None, f"the stream was lost: {problem!r}")
+    def connection_lost(self, failure):
+        self.finish(None, f"the connection was lost: {failure!r}")
--- a/stagevale/relaying/endpoint.py
+++ b/stagevale/forwarding/endpoint.py
@@ -1,4 +1,4 @@
-"""Streams to endpoints: one Protocol object per stream owns its parser, its job and its timers."""
+"""Connections to endpoints: one Protocol object per connection owns its parser, its request and its timers."""
 import asyncio
 
 import h11
@@ -24,102 +24,102 @@
         self.fields = fields
 
 
-class EndpointStream(asyncio.Protocol):
-    """One stream to an endpoint; carries one job at a time."""
+class EndpointConnection(asyncio.Protocol):
+    """One connection to an endpoint; carries one request at a time."""
 
-    __slots__ = ("relay", "target", "transport", "parser", "job", "head", "body", "size", "keep_ms",
+    __slots__ = ("forwarder", "target", "transport", "parser", "request", "head", "body", "size", "keep_ms",
                  "timer", "opened_ms", "written", "closing", "surplus")
 
-    def __init__(self, relay, target):
-        self.relay = relay
+    def __init__(self, forwarder, target):
+        self.forwarder = forwarder
         self.target = target
         self.transport = None
         self.parser = h11.Connection(h11.CLIENT)
-        self.job = None
+        self.request = None
         self.head = None
         self.body = []
         self.size = 0
-        self.keep_ms = relay.context.settings.bounds.contact_ms * 0.9
+        self.keep_ms = forwarder.context.settings.bounds.contact_ms * 0.9
         self.timer = None
-        self.opened_ms = relay.context.now_ms()
+        self.opened_ms = forwarder.context.now_ms()
         self.written = False
         self.closing = False
         self.surplus = 0
 
-    def open(self, job):
-        """Opens the stream and then sends the job."""
-        self.job = job
+    def open(self, request):
+        """Opens the connection and then sends the request."""
+        self.request = request
         self.target.open += 1
-        silence_ms = self.relay.context.settings.bounds.contact_ms / 14.0
-        self.relay.context.connect(wire.pair(self.target.address), self, self.not_opened, silence_ms,
-                                   self.relay.context.settings.bounds.contact_ms)
+        silence_ms = self.forwarder.context.settings.bounds.contact_ms / 14.0
+        self.forwarder.context.connect(wire.pair(self.target.address), self, self.not_opened, silence_ms,
+                                   self.forwarder.context.settings.bounds.contact_ms)
 
-    def not_opened(self, problem):
+    def not_opened(self, failure):
         if self.transport is None and not self.closing:
             self.closing = True
             self.target.open -= 1
-            job, self.job = self.job, None
-            if job is not None:
-                self.relay.not_sent(job, self.target, problem)
+            request, self.request = self.request, None
+            if request is not None:
+                self.forwarder.not_sent(request, self.target, failure)
 
     def connection_made(self, transport):
         self.transport = transport
-        self.relay.chooser.connected(self.target, self.relay.context.now_ms() - self.opened_ms)
+        self.forwarder.chooser.connected(self.target, self.forwarder.context.now_ms() - self.opened_ms)
         if self.closing:
             transport.abort()
             return
-        if self.job is None:
+        if self.request is None:
             self.close()
             return
         self.write()
 
-    def send(self, job):
-        """Sends a job on a stream that was idle."""
-        self.job = job
+    def send(self, request):
+        """Sends a request on a connection that was idle."""
+        self.request = request
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         self.write()
 
     def write(self):
-        job = self.job
+        request = self.request
         self.head, self.body, self.size = None, [], 0
-        left_ms = int(job.cutoff_ms - self.relay.context.now_ms())
+        left_ms = int(request.deadline_ms - self.forwarder.context.now_ms())
         if left_ms <= 0:
-            self.job = None
+            self.request = None
             self.park()
-            self.relay.not_sent(job, self.target, None)
+            self.forwarder.not_sent(request, self.target, None)
             return
-        headers = job.headers + [(b"Deadline-Ms", str(left_ms).encode()),
+        headers = request.headers + [(b"Deadline-Ms", str(left_ms).encode()),
                                  (b"Expect-Instance", self.target.id.encode())]
-        if job.body or job.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
-            headers.append((b"Content-Length", str(len(job.body)).encode()))
+        if request.body or request.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
+            headers.append((b"Content-Length", str(len(request.body)).encode()))
         try:
-            data = self.parser.send(h11.Request(method=job.method, target=job.target, headers=headers))
-            if job.body:
-                data += self.parser.send(h11.Data(data=job.body))
+            data = self.parser.send(h11.Request(method=request.method, target=request.target, headers=headers))
+            if request.body:
+                data += self.parser.send(h11.Data(data=request.body))
             data += self.parser.send(h11.EndOfMessage())
-        except h11.LocalProtocolError as problem:
-            self.job = None
+        except h11.LocalProtocolError as failure:
+            self.request = None
             self.close()
-            self.relay.broken(job, self.target, f"can't be sent: {problem}", False)
+            self.forwarder.broken(request, self.target, f"can't be sent: {failure}", False)
             return
-        if not self.relay.may_use(self.target):
-            self.job = None
+        if not self.forwarder.may_use(self.target):
+            self.request = None
             self.close()
-            self.relay.not_sent(job, self.target, None)
+            self.forwarder.not_sent(request, self.target, None)
             return
-        if not self.relay.may_offer(job):
-            self.job = None
+        if not self.forwarder.may_offer(request):
+            self.request = None
             self.close()
-            self.relay.unoffered(job, self.target)
+            self.forwarder.unoffered(request, self.target)
             return
         self.written = True
-        self.relay.sent(job, self.target)
+        self.forwarder.sent(request, self.target)
         self.transport.write(data)
 
     def data_received(self, data):
-        if self.job is None:
+        if self.request is None:
             self.close()
             return
         self.parser.receive_data(data)
@@ -127,7 +127,7 @@
 
     def read(self):
         try:
-            while self.job is not None:
+            while self.request is not None:
                 event = self.parser.next_event()
                 if event is h11.NEED_DATA:
                     return
@@ -145,27 +145,27 @@
                 elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
                     self.fail("closed before an answer")
                     return
-        except h11.RemoteProtocolError as problem:
-            self.fail(f"no answer in the protocol: {problem}")
+        except h11.RemoteProtocolError as failure:
+            self.fail(f"no answer in the protocol: {failure}")
 
     def complete(self):
-        """A whole answer has come; returns True where it was a surplus one and the job's may still follow."""
-        job, head = self.job, self.head
+        """A whole answer has come; returns True where it was a surplus one and the request's may still follow."""
+        request, head = self.request, self.head
         fields = {}
         for name, value in head.headers:
             fields[name] = value
         framed = b"content-length" in fields or b"transfer-encoding" in fields or head.status_code in (204, 304) \
-            or job.method == b"HEAD"
+            or request.method == b"HEAD"
         id = fields.get(b"attempt-id")
         not_run = b"not-run" in fields or head.status_code == 421
-        if id != job.attempt_id and not (id is None and not_run):
+        if id != request.attempt_id and not (id is None and not_run):
             if id is None or not framed or self.parser.their_state is not h11.DONE or self.surplus >= 2:
                 self.fail("an answer to something else")
                 return False
             self.surplus += 1
             rest = self.parser.trailing_data[0]
             self.parser = h11.Connection(h11.CLIENT)
-            self.parser.send(h11.Request(method=job.method, target=job.target, headers=[(b"Host", b"x")]))
+            self.parser.send(h11.Request(method=request.method, target=request.target, headers=[(b"Host", b"x")]))
             self.parser.send(h11.EndOfMessage())
             self.head, self.body, self.size = None, [], 0
             if rest:
@@ -176,7 +176,7 @@
             return False
         headers = [(name, value) for name, value in head.headers.raw_items() if name.lower() not in HOP_HEADERS]
         answer = Answer(head.status_code, bytes(head.reason), headers, b"".join(self.body), fields)
-        self.job = None
+        self.request = None
         keep = fields.get(b"keep-alive", b"")
         if keep:
             self.read_keep_alive(keep)
@@ -187,7 +187,7 @@
             self.park()
         else:
             self.close()
-        self.relay.answered(job, self.target, answer)
+        self.forwarder.answered(request, self.target, answer)
         return False
 
     def read_keep_alive(self, text):
@@ -197,22 +197,22 @@
                 self.keep_ms = max(200.0, int(value) * 1000.0 * 0.75)
 
     def park(self):
-        """Keeps the stream for a later job, for a shorter time than the endpoint does."""
+        """Keeps the connection for a later request, for a shorter time than the endpoint does."""
         if self.closing or self.transport is None or self.transport.is_closing():
             self.close()
             return
         self.target.idle.append(self)
-        self.timer = self.relay.context.after(self.keep_ms, self.close)
+        self.timer = self.forwarder.context.after(self.keep_ms, self.close)
 
     def fail(self, why):
-        job, self.job = self.job, None
+        request, self.request = self.request, None
         self.close()
-        if job is not None:
-            self.relay.broken(job, self.target, why, self.head is None)
+        if request is not None:
+            self.forwarder.broken(request, self.target, why, self.head is None)
 
     def give_up(self):
-        """Closes the stream under its job, which nobody waits for any more."""
-        self.job = None
+        """Closes the connection under its request, which nobody waits for any more."""
+        self.request = None
         self.close()
 
     def close(self):
@@ -225,20 +225,20 @@
             self.target.idle.remove(self)
         if self.transport is not None:
             self.target.open -= 1
-            self.transport.abort() if self.job is None and self.written else self.transport.close()
+            self.transport.abort() if self.request is None and self.written else self.transport.close()
         else:
             self.target.open -= 1
 
     def eof_received(self):
-        if self.job is not None:
+        if self.request is not None:
             self.parser.receive_data(b"")
             self.read()
-        if self.job is not None:
+        if self.request is not None:
             self.fail("closed before the answer was whole")
         self.close()
         return False
 
-    def connection_lost(self, problem):
-        if self.job is not None:
-            self.fail(f"lost: {problem!r}")
+    def connection_lost(self, failure):
+        if self.request is not None:
+            self.fail(f"lost: {failure!r}")
         self.close()
--- a/stagevale/membership/__init__.py
+++ b/stagevale/membership/__init__.py
@@ -19,7 +19,7 @@
     """This daemon's part in the gossip; datagrams in, datagrams out."""
 
     __slots__ = ("context", "me", "state", "rows", "heartbeat", "suspicions", "unreachable", "observed", "transport",
-                 "change_hooks", "contacts", "interval_ms", "timer", "placer", "epoch", "epoch_hook",
+                 "change_hooks", "contacts", "interval_ms", "timer", "placer", "serial", "serial_hook",
                  "started_ms", "keys", "down_since_ms", "written", "packed", "packed_of", "past",
                  "whole_ms")
 
@@ -27,7 +27,7 @@
         settings = context.settings
         self.context = context
         self.me = Member(address, context.random.getrandbits(31), 0, JOINING, program,
-                         settings.area, settings.region, front)
+                         settings.zone, settings.region, front)
         self.written = 1 + context.random.getrandbits(20)
         self.me.dot = [address, self.written]
         self.state = GossipState({address: self.written}, {address: self.me}, 0, {}, ())
@@ -43,8 +43,8 @@
         self.interval_ms = settings.bounds.contact_ms / 4.0
         self.timer = None
         self.placer = None
-        self.epoch = 0
-        self.epoch_hook = None
+        self.serial = 0
+        self.serial_hook = None
         self.started_ms = context.now_ms()
         self.keys = {self.me.key: self.me}
         self.down_since_ms = {}
@@ -60,10 +60,10 @@
     def connection_made(self, transport):
         self.transport = transport
 
-    def error_received(self, problem):
+    def error_received(self, failure):
         pass
 
-    def connection_lost(self, problem):
+    def connection_lost(self, failure):
         self.transport = None
 
     def others(self, states=COUNTED):
@@ -129,7 +129,7 @@
 
     def expected_ms(self, member):
         """How far apart a member's heartbeats are thought to arrive before any has: proxies of a large fleet speak
-        less often beyond their own area, so word of them takes more rounds."""
+        less often beyond their own zone, so word of them takes more rounds."""
         spread = max(1.0, len(self.state.members) / FAR_TELLERS) ** (0.25 if member.core else 0.5)
         return self.interval_ms * 1.5 * spread
 
@@ -167,7 +167,7 @@
         generation = known.generation + 1 if known is not None else 0
         self.me = Member(self.me.address, self.me.uid if known is None or known.uid != self.me.uid
                          else self.context.random.getrandbits(31), generation,
-                         JOINING, self.me.program, self.me.area, self.me.region, self.me.front)
+                         JOINING, self.me.program, self.me.zone, self.me.region, self.me.front)
         self.make(self.state.changed(self.me.address, members={**self.state.members, self.me.address: self.me}))
 
     def make(self, state):
@@ -208,7 +208,7 @@
             self.bury()
             return
         members = dict(self.state.members)
-        table, table_epoch, moves = self.state.table, self.state.table_epoch, self.state.moves
+        table, table_version, moves = self.state.table, self.state.table_version, self.state.moves
         changed = False
         for address, member in self.state.members.items():
             if member.state == JOINING:
@@ -221,14 +221,14 @@
             placed = self.placer(members, table, moves)
             if placed is not None:
                 table, moves = placed
-                table_epoch += 1
+                table_version += 1
                 changed = True
         if changed:
             pruned = {address: counter for address, counter in self.state.clock.items()
                       if address in members and members[address].state != REMOVED}
-            base = GossipState(pruned, self.state.members, self.state.table_epoch, self.state.table, self.state.moves,
+            base = GossipState(pruned, self.state.members, self.state.table_version, self.state.table, self.state.moves,
                                self.state.table_dots)
-            self.make(base.changed(self.me.address, members=members, table_epoch=table_epoch, table=table, moves=moves))
+            self.make(base.changed(self.me.address, members=members, table_version=table_version, table=table, moves=moves))
 
     def gone(self, member, now_ms):
         """True for a core member that has been down so long that its machine must be taken for gone for good."""
@@ -282,11 +282,11 @@
         overview = None
         targets = set()
         if live and settled and not self.me.core and random.random() > self.far_share(live):
-            beside = [member for member in live if member.area == self.me.area] or live
+            beside = [member for member in live if member.zone == self.me.zone] or live
             targets.add(random.choice(beside).address)
         elif live:
-            beside = [member for member in live if member.area == self.me.area]
-            away = [member for member in live if member.area != self.me.area]
+            beside = [member for member in live if member.zone == self.me.zone]
+            away = [member for member in live if member.zone != self.me.zone]
             near = [member for member in away if member.region == self.me.region]
             if beside:
                 targets.add(random.choice(beside).address)
@@ -317,7 +317,7 @@
                 self.send_state(address)
 
     def far_share(self, live):
-        """How often a proxy's round goes beyond its own area: in a large fleet the far talk of all proxies together
+        """How often a proxy's round goes beyond its own zone: in a large fleet the far talk of all proxies together
         stays what a dozen of them have, and the core carries their heartbeats on."""
         return FAR_TELLERS / max(FAR_TELLERS, sum(1 for member in live if not member.core) + 1.0)
 
@@ -352,7 +352,7 @@
                 seen.append([observer, heartbeat, sorted(addresses)])
         return wire.pack([wire.OVERVIEW, self.me.address, self.clock_bytes() if with_clock else b"",
                           struct.pack(f"!{len(marks)}I", *marks), told, json.dumps(seen) if seen else "",
-                          self.epoch, int(keyed)])
+                          self.serial, int(keyed)])
 
     def clock_bytes(self):
         return wire.squeeze(b"".join(wire.pack_address(address) + struct.pack("!I", counter)
@@ -409,11 +409,11 @@
                 self.arrived_state(sender, *message[2:])
             elif kind == wire.STATE_WANTED:
                 self.wanted(sender, *message[2:])
-        except Exception as problem:
-            self.context.log.warning("membership: unreadable gossip from %s: %r.", peer, problem)
+        except Exception as failure:
+            self.context.log.warning("membership: unreadable gossip from %s: %r.", peer, failure)
 
     def heard_overview(self, sender, message):
-        _, _, clock_bytes, mark_bytes, row_bytes, seen, epoch, keyed = message
+        _, _, clock_bytes, mark_bytes, row_bytes, seen, serial, keyed = message
         now_ms = self.context.now_ms()
         marks = struct.unpack(f"!{len(mark_bytes) // 4}I", mark_bytes)
         rows, suspicions, me = self.rows, self.suspicions, self.me.address
@@ -438,8 +438,8 @@
                 self.observed[observer] = (heartbeat, frozenset(addresses))
         if sender in self.observed and not any(observer == sender for observer, _, _ in seen):
             self.observed.pop(sender)
-        if epoch > self.epoch and self.epoch_hook is not None:
-            self.epoch_hook(sender, epoch)
+        if serial > self.serial and self.serial_hook is not None:
+            self.serial_hook(sender, serial)
         if marks[0] == self.state.mark:
             return
         if clock_bytes:
--- a/stagevale/membership/state.py
+++ b/stagevale/membership/state.py
@@ -14,27 +14,27 @@
 class Member:
     """One daemon as the gossip state knows it. Immutable by custom."""
 
-    __slots__ = ("address", "uid", "generation", "state", "program", "area", "region", "front", "key", "dot")
+    __slots__ = ("address", "uid", "generation", "state", "program", "zone", "region", "front", "key", "dot")
 
-    def __init__(self, address, uid, generation, state, program, area, region, front, dot=None):
+    def __init__(self, address, uid, generation, state, program, zone, region, front, dot=None):
         self.address = address
         self.uid = uid
         self.generation = generation
         self.state = state
         self.program = program
-        self.area = area
+        self.zone = zone
         self.region = region
         self.front = front
         self.key = zlib.crc32(f"{address} {uid}".encode())
         self.dot = dot
 
     def fields(self):
-        return [self.address, self.uid, self.generation, self.state, self.program, self.area, self.region, self.front,
+        return [self.address, self.uid, self.generation, self.state, self.program, self.zone, self.region, self.front,
                 self.dot]
 
     def at(self, state):
         """The same life in another state."""
-        return Member(self.address, self.uid, self.generation, state, self.program, self.area, self.region, self.front)
+        return Member(self.address, self.uid, self.generation, state, self.program, self.zone, self.region, self.front)
 
     @property
     def machine(self):
@@ -80,12 +80,12 @@
     dots of theirs: whoever has a clock that covers a dot has what it wrote, so only the rest need be sent.
     """
 
-    __slots__ = ("clock", "members", "table_epoch", "table", "moves", "table_dots", "mark", "in_order", "in_count")
+    __slots__ = ("clock", "members", "table_version", "table", "moves", "table_dots", "mark", "in_order", "in_count")
 
-    def __init__(self, clock, members, table_epoch, table, moves, table_dots=()):
+    def __init__(self, clock, members, table_version, table, moves, table_dots=()):
         self.clock = clock
         self.members = members
-        self.table_epoch = table_epoch
+        self.table_version = table_version
         self.table = table
         self.moves = moves
         self.table_dots = table_dots
@@ -113,7 +113,7 @@
             self.in_count = tuple(member for member in self.sorted() if member.state in COUNTED)
         return self.in_count
 
-    def changed(self, by, members=None, table_epoch=None, table=None, moves=None):
+    def changed(self, by, members=None, table_version=None, table=None, moves=None):
         """This state after a change made by `by`; what it writes bears the change's dot."""
         clock = clocks.raised(self.clock, by)
         dot = [by, clock[by]]
@@ -123,12 +123,12 @@
             if member.dot is None:
                 member.dot = dot
         table_dots = self.table_dots
-        if table_epoch is not None and table_epoch != self.table_epoch:
+        if table_version is not None and table_version != self.table_version:
             table_dots = (dot,)
         elif moves is not None and moves is not self.moves:
             table_dots = latest(table_dots + (dot,))
         return GossipState(clock, members,
-                           self.table_epoch if table_epoch is None else table_epoch,
+                           self.table_version if table_version is None else table_version,
                            self.table if table is None else table,
                            self.moves if moves is None else moves, table_dots)
 
@@ -138,7 +138,7 @@
         told = any(not clocks.covers(base, dot) for dot in self.table_dots)
         return [[[address, counter] for address, counter in clocks.ahead(self.counted(), base).items()],
                 [member.fields() for member in self.members.values() if not clocks.covers(base, member.dot)],
-                self.table_epoch if told else 0,
+                self.table_version if told else 0,
                 [[part, list(group)] for part, group in self.table.items()] if told else [],
                 [move.fields() for move in self.moves] if told else [],
                 list(self.table_dots) if told else []]
@@ -154,7 +154,7 @@
 
 def from_message(body):
     """A gossip state out of a message; a misshapen one raises ValueError or its kin."""
-    clock_rows, member_rows, table_epoch, table_rows, move_rows, table_dots = body
+    clock_rows, member_rows, table_version, table_rows, move_rows, table_dots = body
     members = {}
     for row in member_rows:
         member = Member(*row)
@@ -162,7 +162,7 @@
         if not 0 <= member.state <= REMOVED:
             raise ValueError("member state")
         members[member.address] = member
-    return GossipState({address: int(counter) for address, counter in clock_rows}, members, int(table_epoch),
+    return GossipState({address: int(counter) for address, counter in clock_rows}, members, int(table_version),
                        {part: tuple(group) for part, group in table_rows},
                        tuple(Move(*row) for row in move_rows), tuple(table_dots))
 
@@ -177,10 +177,10 @@
         known = members.get(address)
         if known is None or member.rank() > known.rank():
             members[address] = member
-    later = max(mine, theirs, key=lambda state: (state.table_epoch, sorted(state.table.items())))
+    later = max(mine, theirs, key=lambda state: (state.table_version, sorted(state.table.items())))
     moves = {move.key(): move for move in later.moves}
     for move in mine.moves + theirs.moves:
         if move.key() in moves and move.status == COMPLETE:
             moves[move.key()] = move
-    return GossipState(clocks.joined(mine.clock, theirs.clock), members, later.table_epoch, later.table,
+    return GossipState(clocks.joined(mine.clock, theirs.clock), members, later.table_version, later.table,
                        tuple(moves[key] for key in sorted(moves)), latest(mine.table_dots + theirs.table_dots))
--- a/stagevale/partners/__init__.py
+++ b/stagevale/partners/__init__.py
@@ -34,9 +34,9 @@
         return self.about(row.host, row.variant) and (row.prefix.startswith(self.prefix)
                                                       or self.prefix.startswith(row.prefix))
 
-    def binds(self, area, region, tenant):
-        """True where a job from here, of this tenant or partner, is among those it withholds from."""
-        return self.everybody or area in self.zones or region in self.regions or tenant in self.tenants
+    def binds(self, zone, region, tenant):
+        """True where a request from here, of this tenant or partner, is among those it withholds from."""
+        return self.everybody or zone in self.zones or region in self.regions or tenant in self.tenants
 
     def words(self):
         whom = [f"{what} {', '.join(sorted(names))}" for what, names in
@@ -63,10 +63,10 @@
         self.restrictions = ()
         self.route = None
 
-    def withheld_by(self, path, area, region, tenant):
-        """The restriction that withholds a job on this path from here, or None."""
+    def withheld_by(self, path, zone, region, tenant):
+        """The restriction that withholds a request on this path from here, or None."""
         for restriction in self.restrictions:
-            if path.startswith(restriction.prefix) and restriction.binds(area, region, tenant):
+            if path.startswith(restriction.prefix) and restriction.binds(zone, region, tenant):
                 return restriction
         return None
 
@@ -92,23 +92,23 @@
         text = json.dumps([[row.fields(), row.source] for row in rows], sort_keys=True, separators=(",", ":"))
         self.mark = hashlib.sha256(text.encode()).hexdigest()[:16]
 
-    def weigh(self, host, path, area, region, tenant):
-        """Each partner's word on a job: (row, why it is not used or ""). A partner whose longest prefix is withheld or
-        dropped has no other word: the job never slips to a wider route of that partner."""
+    def weigh(self, host, path, zone, region, tenant):
+        """Each partner's word on a request: (row, why it is not used or ""). A partner whose longest prefix is withheld or
+        dropped has no other word: the request never slips to a wider route of that partner."""
         words = []
         for partner in sorted(self.by_host.get(host, ())):
             for row in self.by_host[host][partner]:
                 if path.startswith(row.prefix):
-                    held = row.withheld_by(path, area, region, tenant)
+                    held = row.withheld_by(path, zone, region, tenant)
                     words.append((row, row.reason if not row.kept else
                                   f"restriction {held.words()}" if held is not None else ""))
                     break
         return words
 
-    def find(self, host, path, area, region, tenant):
-        """The row that takes a job: the longest prefix, between equals the first partner by name; or None."""
+    def find(self, host, path, zone, region, tenant):
+        """The row that takes a request: the longest prefix, between equals the first partner by name; or None."""
         best = None
-        for row, against in self.weigh(host, path, area, region, tenant):
+        for row, against in self.weigh(host, path, zone, region, tenant):
             if not against and (best is None or len(row.prefix) > len(best.prefix)):
                 best = row
         return best
--- a/stagevale/partners/checking.py
+++ b/stagevale/partners/checking.py
@@ -5,7 +5,7 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.configuration.checking import ROUTE, ConfigProblem, check_version, fingerprint
+from stagevale.configuration.checking import ROUTE, ConfigFailure, check_version, fingerprint
 from stagevale.partners import table_of
 
 NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
@@ -31,54 +31,54 @@
 }, allow_extra="*")
 
 
-def read_offer(partner, text, config, offers, areas) -> Result:
+def read_offer(partner, text, config, offers, zones) -> Result:
     """The text of an offer as Ok(table), or Error(ConfigProblem) with the field that is wrong."""
     if not NAME.match(partner):
-        return Error(ConfigProblem(400, "partner: want a name of letters, digits, dots, dashes"))
+        return Error(ConfigFailure(400, "partner: want a name of letters, digits, dots, dashes"))
     try:
         table = OFFER.check(json.loads(text))
-    except (ValueError, RecursionError) as problem:
-        return Error(ConfigProblem(400, f"not JSON: {problem}"))
-    except t.DataError as problem:
-        return Error(ConfigProblem(400, json.dumps(problem.as_dict(), default=str)))
+    except (ValueError, RecursionError) as failure:
+        return Error(ConfigFailure(400, f"not JSON: {failure}"))
+    except t.DataError as failure:
+        return Error(ConfigFailure(400, json.dumps(failure.as_dict(), default=str)))
     services = {service["name"] for service in config.get("services", ())}
     places, names = set(), set()
     for number, route in enumerate(table["routes"]):
         where = f"routes[{number}]"
         place = route["host"].lower(), route["pathPrefix"]
         if place in places:
-            return Error(ConfigProblem(400, f"{where}: another route of this offer has this host and prefix"))
+            return Error(ConfigFailure(400, f"{where}: another route of this offer has this host and prefix"))
         places.add(place)
         targets = [part["service"] for part in route.get("weighted") or ()] or [route.get("service")]
         if not targets[0]:
-            return Error(ConfigProblem(400, f"{where}.service: no service"))
+            return Error(ConfigFailure(400, f"{where}.service: no service"))
         if route.get("weighted") and sum(part["weight"] for part in route["weighted"]) <= 0:
-            return Error(ConfigProblem(400, f"{where}.weighted: no weight above 0"))
+            return Error(ConfigFailure(400, f"{where}.weighted: no weight above 0"))
         for target in targets:
             if target not in services:
-                return Error(ConfigProblem(400, f"{where}.service: unknown service {target}"))
-    known = {"regions": set(areas.values()), "zones": set(areas),
+                return Error(ConfigFailure(400, f"{where}.service: unknown service {target}"))
+    known = {"regions": set(zones.values()), "zones": set(zones),
              "tenants": {tenant["name"] for tenant in config.get("tenants") or ()}}
     known["partners"] = {name for name, (_, kept) in offers.items() if kept} | known["tenants"] | {partner}
     for number, row in enumerate(table.get("restrictions") or ()):
         where = f"restrictions[{number}]"
         if row["name"] in names:
-            return Error(ConfigProblem(400, f"{where}.name: another restriction has this name"))
+            return Error(ConfigFailure(400, f"{where}.name: another restriction has this name"))
         names.add(row["name"])
         if row["withholds"].get("pathPrefix", "/")[0] != "/":
-            return Error(ConfigProblem(400, f"{where}.withholds.pathPrefix: does not begin with a slash"))
+            return Error(ConfigFailure(400, f"{where}.withholds.pathPrefix: does not begin with a slash"))
         host = row["withholds"].get("host")
         if host and host.lower() not in {place[0] for place in places}:
-            return Error(ConfigProblem(400, f"{where}.withholds.host: {host} is in no route of this offer"))
+            return Error(ConfigFailure(400, f"{where}.withholds.host: {host} is in no route of this offer"))
         prefix = row["withholds"].get("pathPrefix", "")
         if not any(place[1].startswith(prefix) or prefix.startswith(place[1]) for place in places):
-            return Error(ConfigProblem(400, f"{where}.withholds.pathPrefix: no route of this offer is near {prefix}"))
+            return Error(ConfigFailure(400, f"{where}.withholds.pathPrefix: no route of this offer is near {prefix}"))
         if not any(row["from"].get(what) for what in ("regions", "zones", "tenants", "partners", "everybody")):
-            return Error(ConfigProblem(400, f"{where}.from: names nobody"))
+            return Error(ConfigFailure(400, f"{where}.from: names nobody"))
         for what in known:
             for name in row["from"].get(what) or ():
                 if name not in known[what]:
-                    return Error(ConfigProblem(400, f"{where}.from.{what}: {name} is not known"))
+                    return Error(ConfigFailure(400, f"{where}.from.{what}: {name} is not known"))
     return Ok(table)
 
 
@@ -87,11 +87,11 @@
     return not table_of(before).allows() <= table_of(after).allows()
 
 
-def offered(value, payload, areas, outcome):
+def offered(value, payload, zones, outcome):
     """What an offer does: `outcome(status, text, value)`; payload is the partner's name, a line end, the offer."""
     partner, _, text = payload.partition("\n")
     config = json.loads(value.config) if value.config else {}
-    checked = read_offer(partner, text, config, value.offers, areas)
+    checked = read_offer(partner, text, config, value.offers, zones)
     if checked.is_error():
         return outcome(checked.error.status, checked.error.reason)
     table = checked.ok
--- a/stagevale/placement/__init__.py
+++ b/stagevale/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: which members keep which part of the state, and which registries feed the proxies of an area."""
+"""Placement: which members keep which part of the state, and which registries feed the proxies of a zone."""
 import zlib
 
 from stagevale.membership.state import AWAITING, COMPLETE, LEAVING, UP, Move, sort_key
@@ -31,21 +31,21 @@
     return tuple(group)
 
 
-def feeders_for(area, region, registries):
-    """The registries that feed an area's proxies, nearest first."""
-    ordered = sorted(registries, key=lambda member: (member.area != area, member.region != region,
-                                                     weight(area, member.address), sort_key(member.address)))
+def feeders_for(zone, region, registries):
+    """The registries that feed a zone's proxies, nearest first."""
+    ordered = sorted(registries, key=lambda member: (member.zone != zone, member.region != region,
+                                                     weight(zone, member.address), sort_key(member.address)))
     return tuple(member.address for member in ordered[:FEEDERS])
 
 
-def fronts_for(area, region, ready):
-    """The fronts for a client of an area, out of rows (front, area, region): its own, else near ones, else all."""
-    here = sorted(front for front, its_area, _ in ready if its_area == area)
+def fronts_for(zone, region, ready):
+    """The fronts for a client of a zone, out of rows (front, zone, region): its own, else near ones, else all."""
+    here = sorted(front for front, its_zone, _ in ready if its_zone == zone)
     near = sorted(front for front, _, its_region in ready if its_region == region)
     return here or near or sorted(front for front, _, _ in ready)[:64]
 
 
-def place(members, table, moves, areas):
+def place(members, table, moves, zones):
     """The leader's rule: returns (table, moves) where anything is to change, else None.
 
     A part leaves a member that still lives by a pending move; from one that doesn't it is taken at once,
@@ -85,8 +85,8 @@
                 group.remove(address)
         group.extend(comers)
         new_table[part] = tuple(group)
-    for area, region in areas.items():
-        new_table["feeds-" + area] = feeders_for(area, region, registries)
+    for zone, region in zones.items():
+        new_table["feeds-" + zone] = feeders_for(zone, region, registries)
     new_moves = tuple(new_moves)
     if new_table == table and [m.fields() for m in new_moves] == [m.fields() for m in moves]:
         return None
--- a/stagevale/programs/__init__.py
+++ b/stagevale/programs/__init__.py
@@ -9,7 +9,7 @@
 
 from stagevale.context import Context
 from stagevale.membership import Membership
-from stagevale.settings import SettingsProblem, load_settings, settings_path
+from stagevale.settings import SettingsFailure, load_settings, settings_path
 from stagevale.wire.switchboard import Switchboard
 
 EXIT_MISUSE = 2
@@ -49,8 +49,8 @@
         self.stamp = stamp_of(self.path)
         try:
             settings = load_settings(self.path)
-        except SettingsProblem as problem:
-            self.context.log.error("%s: new settings are invalid, the old ones stay: %s.", self.program, problem)
+        except SettingsFailure as failure:
+            self.context.log.error("%s: new settings are invalid, the old ones stay: %s.", self.program, failure)
             return
         if settings.ip != self.context.settings.ip or settings.inner_ports != self.context.settings.inner_ports:
             self.context.log.error("%s: new settings move this daemon; that takes a restart.", self.program)
@@ -84,8 +84,8 @@
     path = settings_path()
     try:
         settings = load_settings(path)
-    except SettingsProblem as problem:
-        sys.stderr.write(f"stagevale {program}: {path}: {problem}\n")
+    except SettingsFailure as failure:
+        sys.stderr.write(f"stagevale {program}: {path}: {failure}\n")
         return EXIT_MISUSE
     loop = asyncio.new_event_loop()
     context = Context(settings, loop, logging)
@@ -105,7 +105,7 @@
     loop.call_soon(daemon.begin)
     gc.collect()
     gc.freeze()
-    logging.info("%s: %s starts in %s.", program, settings.name, settings.area)
+    logging.info("%s: %s starts in %s.", program, settings.name, settings.zone)
     try:
         loop.run_forever()
     finally:
--- a/stagevale/programs/registry.py
+++ b/stagevale/programs/registry.py
@@ -1,4 +1,4 @@
-"""The registry: serves control and directory, knows the endpoints, feeds the proxies, relays orders."""
+"""The registry: serves control and directory, knows the endpoints, feeds the proxies, forwards orders."""
 import os
 
 from stagevale.configuration.disk import DiskRegister, Folder
@@ -7,7 +7,7 @@
 from stagevale.duties.true_time import TrueTime
 from stagevale.placement import place
 from stagevale.programs import Daemon
-from stagevale.registrations.calls import CallStream, dispatcher
+from stagevale.registrations.calls import CallConnection, dispatcher
 from stagevale.registrations.desk import Desk
 
 
@@ -25,7 +25,7 @@
         self.desk = Desk(context, self.board, self.membership)
         self.duties = None
         self.dispatch = dispatcher(context, self.desk, bounds.ttl_max_s * TTL_SHARE)
-        self.membership.placer = lambda members, table, moves: place(members, table, moves, context.settings.areas)
+        self.membership.placer = lambda members, table, moves: place(members, table, moves, context.settings.zones)
 
     def begin(self):
         super().begin()
@@ -40,7 +40,7 @@
         for name in ("control", "directory"):
             address = self.context.settings.listen.get(name)
             if address:
-                self.context.listen(address, lambda: CallStream(self.context, self.dispatch))
+                self.context.listen(address, lambda: CallConnection(self.context, self.dispatch))
 
     def duties_folder(self):
         folder = os.path.join(self.context.settings.data_path, "duties")
--- a/stagevale/programs/store.py
+++ b/stagevale/programs/store.py
@@ -17,7 +17,7 @@
         folder = os.path.join(context.settings.data_path or ".", "store")
         os.makedirs(folder, exist_ok=True)
         self.keeper = Keeper(context, self.board, self.membership, DiskRegister(Folder(folder)))
-        self.membership.placer = lambda members, table, moves: place(members, table, moves, context.settings.areas)
+        self.membership.placer = lambda members, table, moves: place(members, table, moves, context.settings.zones)
 
     def begin(self):
         super().begin()
--- a/stagevale/registrations/__init__.py
+++ b/stagevale/registrations/__init__.py
@@ -9,37 +9,37 @@
 class Life:
     """One life of an endpoint as it is known here. Immutable by custom."""
 
-    __slots__ = ("id", "service", "address", "area", "slots", "state", "call_seq", "unsound_at", "cold_seq", "cold_ms",
+    __slots__ = ("id", "service", "address", "zone", "slots", "state", "call_seq", "unhealthy_at", "cold_seq", "cold_ms",
                  "heard_ms", "software")
 
-    def __init__(self, id, service, address, area, slots, state, call_seq, unsound_at, cold_seq, cold_ms, heard_ms=0.0,
+    def __init__(self, id, service, address, zone, slots, state, call_seq, unhealthy_at, cold_seq, cold_ms, heard_ms=0.0,
                  software=""):
         self.id = id
         self.service = service
         self.address = address
-        self.area = area
+        self.zone = zone
         self.slots = slots
         self.state = state
         self.call_seq = call_seq
-        self.unsound_at = unsound_at
+        self.unhealthy_at = unhealthy_at
         self.cold_seq = cold_seq
         self.cold_ms = cold_ms
         self.heard_ms = heard_ms
         self.software = software
 
     @property
-    def sound(self):
+    def healthy(self):
         """False once it was declared unheard and has not been heard since."""
-        return self.call_seq > self.unsound_at
+        return self.call_seq > self.unhealthy_at
 
     def fields(self, now_ms):
         """The life for a message; what is left of the cold time travels, not the moment of its end."""
-        return [self.id, self.service, self.address, self.area, self.slots, self.state, self.call_seq,
-                self.unsound_at, self.cold_seq, max(0, int(self.cold_ms - (now_ms - self.heard_ms))), self.software]
+        return [self.id, self.service, self.address, self.zone, self.slots, self.state, self.call_seq,
+                self.unhealthy_at, self.cold_seq, max(0, int(self.cold_ms - (now_ms - self.heard_ms))), self.software]
 
     def known(self):
         """What the proxies need to know; two lives with equal answers need no push."""
-        return self.id, self.state, self.sound, self.cold_seq
+        return self.id, self.state, self.healthy, self.cold_seq
 
 
 def life_from_fields(row, now_ms):
@@ -47,7 +47,7 @@
     life = Life(*row[:10], heard_ms=now_ms, software=row[10] if len(row) > 10 else "")
     if not (isinstance(life.id, str) and isinstance(life.address, str) and life.state in (READY, DRAINING, GONE)):
         raise ValueError("life")
-    int(life.call_seq), int(life.unsound_at), int(life.cold_ms), int(life.slots)
+    int(life.call_seq), int(life.unhealthy_at), int(life.cold_ms), int(life.slots)
     return life
 
 
@@ -73,11 +73,11 @@
             return comer
         state = max(known.state, comer.state)
         newer = comer if comer.call_seq > known.call_seq else known
-        unsound_at = max(known.unsound_at, comer.unsound_at)
+        unhealthy_at = max(known.unhealthy_at, comer.unhealthy_at)
         colder = comer if comer.cold_seq > known.cold_seq else known
         cold_left_ms = colder.cold_ms - (now_ms - colder.heard_ms)
-        after = Life(known.id, known.service, newer.address, newer.area, newer.slots, state, newer.call_seq,
-                     unsound_at, colder.cold_seq, max(0, cold_left_ms), now_ms, known.software or comer.software)
+        after = Life(known.id, known.service, newer.address, newer.zone, newer.slots, state, newer.call_seq,
+                     unhealthy_at, colder.cold_seq, max(0, cold_left_ms), now_ms, known.software or comer.software)
         self.put(after)
         if state == GONE and known.state != GONE:
             self.gone_ms[after.id] = now_ms
@@ -91,9 +91,9 @@
         self.marks.pop(part, None)
 
     def forget(self, gone_before_ms, unheard_before_ms):
-        """Drops lives that left, and unsound ones that were last heard, before these moments."""
+        """Drops lives that left, and unhealthy ones that were last heard, before these moments."""
         old = [id for id, since_ms in self.gone_ms.items() if since_ms < gone_before_ms]
-        old += [life.id for life in self.by_id.values() if not life.sound and life.heard_ms < unheard_before_ms]
+        old += [life.id for life in self.by_id.values() if not life.healthy and life.heard_ms < unheard_before_ms]
         for id in old:
             self.gone_ms.pop(id, None)
             life = self.by_id.pop(id, None)
@@ -104,11 +104,11 @@
                 self.marks.pop(part, None)
 
     def mark(self, part):
-        """A short number equal for equal knowledge of a part; gone and unsound lives don't count."""
+        """A short number equal for equal knowledge of a part; gone and unhealthy lives don't count."""
         mark = self.marks.get(part)
         if mark is None:
             rows = sorted(life.known() for life in self.parts.get(part, {}).values()
-                          if life.state != GONE and life.sound)
+                          if life.state != GONE and life.healthy)
             mark = self.marks[part] = zlib.crc32(repr(rows).encode())
         return mark
 
--- a/stagevale/registrations/calls.py
+++ b/stagevale/registrations/calls.py
@@ -12,8 +12,8 @@
 HEAD_BYTES = 32 * 1024
 
 
-class CallStream(asyncio.Protocol):
-    """One stream of a caller; calls are answered one after the other."""
+class CallConnection(asyncio.Protocol):
+    """One connection of a caller; calls are answered one after the other."""
 
     __slots__ = ("context", "dispatch", "transport", "parser", "request", "body", "size", "busy", "timer", "idle_ms")
 
@@ -46,7 +46,7 @@
     def eof_received(self):
         return False
 
-    def connection_lost(self, problem):
+    def connection_lost(self, failure):
         if self.timer is not None:
             self.timer.cancel()
 
@@ -73,8 +73,8 @@
                 elif isinstance(event, h11.ConnectionClosed):
                     self.transport.close()
                     return
-        except h11.RemoteProtocolError as problem:
-            self.answer(problem.error_status_hint, {"error": str(problem)}, close=True)
+        except h11.RemoteProtocolError as failure:
+            self.answer(failure.error_status_hint, {"error": str(failure)}, close=True)
 
     def call(self):
         target = self.request.target.decode("latin-1")
@@ -88,8 +88,8 @@
                 self.answer(status, body)
         try:
             self.dispatch(self.request.method.decode("latin-1"), segments, query, b"".join(self.body), answer)
-        except Exception as problem:
-            self.context.log.error("calls: %s %s failed: %r.", self.request.method.decode("latin-1"), path, problem)
+        except Exception as failure:
+            self.context.log.error("calls: %s %s failed: %r.", self.request.method.decode("latin-1"), path, failure)
             answer(500, {"error": "this call failed here"})
 
     def answer(self, status, body, close=False):
@@ -115,7 +115,7 @@
         self.read()
 
 
-class Problem(Exception):
+class Failure(Exception):
     """A body that can't be taken; the message names the field."""
 
 
@@ -124,38 +124,38 @@
     try:
         table = json.loads(body)
     except (ValueError, RecursionError):
-        raise Problem("the body is not JSON") from None
+        raise Failure("the body is not JSON") from None
     if not isinstance(table, dict):
-        raise Problem("the body is not a table")
+        raise Failure("the body is not a table")
     details, status = table.get("details"), table.get("status")
     if not isinstance(details, dict) or not isinstance(status, dict):
-        raise Problem("details and status must be tables")
+        raise Failure("details and status must be tables")
     address = table.get("address")
     ip, colon, port = address.rpartition(":") if isinstance(address, str) else ("", "", "")
     numbers = ip.split(".")
     if not colon or not port.isdigit() or not 0 < int(port) < 65536 or len(numbers) != 4 or \
             not all(number.isdigit() and int(number) < 256 for number in numbers):
-        raise Problem(f"address: want ip:port, got {address!r}")
+        raise Failure(f"address: want ip:port, got {address!r}")
     for place, field in ((details, "service"), (details, "zone"), (status, "state")):
         if not isinstance(place.get(field), str) or not place[field]:
-            raise Problem(f"{field}: want a text")
+            raise Failure(f"{field}: want a text")
     version = details.setdefault("version", "")
     if not isinstance(version, str) or len(version) > 200:
-        raise Problem(f"version: want a text of at most 200 characters, got {version!r}")
+        raise Failure(f"version: want a text of at most 200 characters, got {version!r}")
     status.setdefault("coldLeftMs", 0)
     for place, field, least in ((details, "slots", 1), (status, "callSeq", 0), (status, "coldLeftMs", 0)):
         value = place.get(field)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < 2 ** 53:
-            raise Problem(f"{field}: want a number from {least}, got {value!r}")
+            raise Failure(f"{field}: want a number from {least}, got {value!r}")
         place[field] = int(value)
     if status["state"] not in ("ready", "draining"):
-        raise Problem(f"state: want ready or draining, got {status['state']!r}")
+        raise Failure(f"state: want ready or draining, got {status['state']!r}")
     return table
 
 
 def dispatcher(context, desk, ttl_s):
     """The dispatch for one registry: every call from outside comes through here."""
-    areas = context.settings.areas
+    zones = context.settings.zones
 
     def dispatch(method, segments, query, body, answer):
         if segments[:1] != ("v1",):
@@ -170,8 +170,8 @@
                 return desk.leave(shape[1], answer)
             try:
                 table = read_beat(body)
-            except Problem as problem:
-                return answer(400, {"error": str(problem)})
+            except Failure as failure:
+                return answer(400, {"error": str(failure)})
             return desk.beat(shape[1], table, answer)
         if shape == ("resolve",):
             if method != "GET":
@@ -210,7 +210,7 @@
         if len(shape) == 3 and shape[0] == "evacuation" and shape[2] in ("begin", "finish"):
             if method != "POST":
                 return answer(405, {"error": "want POST"})
-            if shape[1] not in areas:
+            if shape[1] not in zones:
                 return answer(404, {"error": f"no zone {shape[1]}"})
             return desk.order("evacuate" if shape[2] == "begin" else "takeBack", shape[1], ordered(answer))
         return answer(404, {"error": "no such call"})
--- a/stagevale/registrations/desk.py
+++ b/stagevale/registrations/desk.py
@@ -20,13 +20,13 @@
 class Subscriber:
     """A proxy that this registry feeds."""
 
-    __slots__ = ("address", "front", "area", "region", "ready", "serial", "heard_ms", "waiting", "welcomed", "report",
+    __slots__ = ("address", "front", "zone", "region", "ready", "serial", "heard_ms", "waiting", "welcomed", "report",
                  "table")
 
-    def __init__(self, address, front, area, region, ready, serial, heard_ms):
+    def __init__(self, address, front, zone, region, ready, serial, heard_ms):
         self.address = address
         self.front = front
-        self.area = area
+        self.zone = zone
         self.region = region
         self.ready = ready
         self.serial = serial
@@ -87,11 +87,11 @@
                               (wire.UNSUBSCRIBE, self.on_unsubscribe), (wire.PULL, self.on_pull),
                               (wire.ATTACHED, self.on_attached), (wire.ATTACHED_WANTED, self.on_attached_wanted),
                               (wire.READ_VALUE, self.on_value_wanted), (wire.USAGE, self.on_usage),
-                              (wire.CLAIM_WANTED, self.on_claim_wanted)):
+                              (wire.LEASE_WANTED, self.on_lease_wanted)):
             board.on(kind, handler)
-        board.lost_hooks.append(self.stream_lost)
+        board.lost_hooks.append(self.connection_lost)
         membership.change_hooks.append(self.placement_changed)
-        membership.epoch_hook = self.epoch_heard
+        membership.serial_hook = self.serial_heard
 
     def start(self):
         self.context.after(self.interval_ms * 0.05, self.tick)
@@ -101,8 +101,8 @@
         """Begins from the endpoints that this registry knew when it last ran: hints, until beats say more."""
         self.disk = disk
 
-        def loaded(record, problem):
-            if problem is not None or record is None:
+        def loaded(record, failure):
+            if failure is not None or record is None:
                 return
             now_ms = self.context.now_ms()
             for row in wire.unpack(record, "load", "disk")[1]:
@@ -122,11 +122,11 @@
         self.saving = True
         now_ms = self.context.now_ms()
         record = wire.pack([0, [life.fields(now_ms) for life in self.lives.by_id.values()
-                                if life.sound and life.state != GONE]])
+                                if life.healthy and life.state != GONE]])
 
-        def saved(_, problem):
+        def saved(_, failure):
             self.saving = False
-            if problem is None:
+            if failure is None:
                 self.saved_mark = mark
         self.context.disk(lambda: self.disk.save(record), saved)
 
@@ -205,7 +205,7 @@
         if known is None:
             answer(200, {})
             return
-        self.take_in(Life(id, known.service, known.address, known.area, known.slots, GONE, known.call_seq, 0, 0, 0,
+        self.take_in(Life(id, known.service, known.address, known.zone, known.slots, GONE, known.call_seq, 0, 0, 0,
                          self.context.now_ms()), answer)
 
     def take_in(self, comer, answer):
@@ -227,12 +227,12 @@
             answer(200, self.beat_answer(comer))
 
     def beat_answer(self, life):
-        """Names a registry of the endpoint's own area for later beats, where this one is of another."""
-        if life.area == self.membership.me.area or "control" not in self.context.settings.listen:
+        """Names a registry of the endpoint's own zone for later beats, where this one is of another."""
+        if life.zone == self.membership.me.zone or "control" not in self.context.settings.listen:
             return {}
         port = self.context.settings.listen["control"][1]
         for member in self.registries():
-            if member.area == life.area and self.membership.reachable(member.address):
+            if member.zone == life.zone and self.membership.reachable(member.address):
                 return {"beatTarget": f"{member.machine}:{port}"}
         return {}
 
@@ -256,10 +256,10 @@
                     self.board.cast(address, wire.LIVES, [rows, 0])
                 continue
 
-            def answered(peer, reply, problem, held=held):
+            def answered(peer, reply, failure, held=held):
                 if held.over:
                     return
-                held.count(peer, problem is None and reply is not None, (0, ""))
+                held.count(peer, failure is None and reply is not None, (0, ""))
                 if held.won():
                     held.over = True
                     answer(200, {})
@@ -268,7 +268,7 @@
                     answer(503, {"error": "the part's group can't be reached"})
             for address in others:
                 self.board.call(address, wire.LIVES, [rows, 0], self.interval_ms * 0.7,
-                                lambda reply, problem, peer=address: answered(peer, reply, problem))
+                                lambda reply, failure, peer=address: answered(peer, reply, failure))
 
     def pass_on(self, part, lives):
         """A member of a part's group passes news to the registries of its region, and the owner to the rest."""
@@ -310,7 +310,7 @@
             known = self.lives.by_key.get(key)
             if known is None:
                 continue
-            comer = Life(known.id, known.service, known.address, known.area, known.slots, READY, call_seq, 0, 0, 0, now_ms)
+            comer = Life(known.id, known.service, known.address, known.zone, known.slots, READY, call_seq, 0, 0, 0, now_ms)
             after = self.lives.merge(comer, now_ms)
             if after is not None:
                 back.append(after)
@@ -324,7 +324,7 @@
             return
         for life in news:
             self.unfed[life.id] = life
-        if any(life.state != READY or not life.sound for life in news):
+        if any(life.state != READY or not life.healthy for life in news):
             self.feed_now()
         elif not self.feeding:
             self.feeding = True
@@ -368,10 +368,10 @@
             ballot = (self.round_no, f"{self.board.address}#{self.life}")
             running = Round(ballot, group)
 
-            def answered(peer, answer, problem, running=running, part=part, ballot=ballot):
+            def answered(peer, answer, failure, running=running, part=part, ballot=ballot):
                 if running.over:
                     return
-                if problem is not None or answer is None:
+                if failure is not None or answer is None:
                     running.count(peer, False, (0, ""))
                 else:
                     running.count(peer, answer[0], as_ballot(answer[1]))
@@ -384,7 +384,7 @@
                     running.over = True
             for address in group:
                 self.board.call(address, wire.CANVASS, [part, list(ballot)], self.interval_ms * 0.6,
-                                lambda answer, problem, peer=address, answered=answered: answered(peer, answer, problem))
+                                lambda answer, failure, peer=address, answered=answered: answered(peer, answer, failure))
 
     def live(self, address):
         return (self.context.now_ms() - self.ping_heard_ms.get(address, -1e12)
@@ -402,7 +402,7 @@
         reply([promised, list(highest)])
 
     def judge(self):
-        """The owner of a part declares lives unsound that no registry has heard for some beats."""
+        """The owner of a part declares lives unhealthy that no registry has heard for some beats."""
         now_ms = self.context.now_ms()
         if not self.in_contact() or now_ms - self.started_ms < self.context.settings.beat_ms * 4:
             return
@@ -412,9 +412,9 @@
             if not self.owns(part):
                 continue
             for life in list(self.lives.parts.get(part, {}).values()):
-                if life.state == GONE or not life.sound or now_ms - life.heard_ms < limit_ms:
+                if life.state == GONE or not life.healthy or now_ms - life.heard_ms < limit_ms:
                     continue
-                unheard.append(Life(life.id, life.service, life.address, life.area, life.slots, life.state,
+                unheard.append(Life(life.id, life.service, life.address, life.zone, life.slots, life.state,
                                     life.call_seq, life.call_seq, life.cold_seq, life.cold_ms, life.heard_ms,
                                     life.software))
         news = []
@@ -458,7 +458,7 @@
             self.board.cast(subscriber.address, wire.FEED_PING, self.feed_ping(serial, contact))
 
     def feed_ping(self, serial, contact):
-        """What a feeder says each round: its epoch, whether it is in touch, and, where duties want it, the agreed time."""
+        """What a feeder says each round: its version, whether it is in touch, and, where duties want it, the agreed time."""
         true_ms = self.true_time.now() if self.true_time is not None else None
         return [serial, 1 if contact else 0] + ([int(true_ms)] if true_ms is not None else [])
 
@@ -488,7 +488,7 @@
             self.board.call(peer, wire.READ_VALUE, [], self.interval_ms, self.got_value)
         if attached_mark != self.attached_mark(self.attached.get(peer, ())):
             self.board.call(peer, wire.ATTACHED_WANTED, [], self.interval_ms,
-                            lambda answer, problem: problem is None and answer is not None
+                            lambda answer, failure: failure is None and answer is not None
                             and self.got_attached(peer, answer))
         if len(marks) == 1:
             member = self.membership.state.members.get(peer)
@@ -503,7 +503,7 @@
         if wanted:
             rows = [row for number in wanted for row in self.lives.rows(PARTS[number], now_ms)]
             self.board.call(peer, wire.PART_WANTED, [wanted, rows], self.interval_ms,
-                            lambda answer, problem: problem is None and answer is not None
+                            lambda answer, failure: failure is None and answer is not None
                             and self.on_lives(peer, [answer, 1], None))
 
     def on_part_wanted(self, peer, body, reply):
@@ -523,9 +523,9 @@
                 continue
             self.moves_running.add(move.key())
 
-            def ready(answer, problem, move=move):
+            def ready(answer, failure, move=move):
                 self.moves_running.discard(move.key())
-                if problem is None and answer:
+                if failure is None and answer:
                     self.membership.complete_move(move)
             self.board.call(move.taker, wire.HANDOFF, [move.part, self.lives.rows(move.part, self.context.now_ms())],
                             self.interval_ms, ready)
@@ -555,7 +555,7 @@
             return
         self.value = value
         self.partners = table_of(value) if value.offers else NO_TABLE
-        self.membership.epoch = value.serial
+        self.membership.serial = value.serial
         if value.sessions:
             if self.sessions is None:
                 from stagevale.affinity.keeping import SessionKeeper
@@ -583,8 +583,8 @@
             if subscriber.waiting:
                 self.welcome(subscriber, True)
 
-    def epoch_heard(self, sender, epoch):
-        if self.value is None or epoch > self.value.serial:
+    def serial_heard(self, sender, serial):
+        if self.value is None or serial > self.value.serial:
             self.pull_value()
 
     def stores(self):
@@ -602,9 +602,9 @@
             return
         self.pulling = True
 
-        def answered(answer, problem):
+        def answered(answer, failure):
             self.pulling = False
-            if problem is None and answer and answer[0] == 200:
+            if failure is None and answer and answer[0] == 200:
                 self.take_value(read_value(answer[1]))
                 self.confirmed()
                 if then is not None:
@@ -613,14 +613,14 @@
                 then(False)
         self.ask_stores(wire.READ_VALUE, [False], answered, self.stores()[:3], self.interval_ms * 0.9)
 
-    def ask_stores(self, kind, body, done, addresses, cutoff_ms):
+    def ask_stores(self, kind, body, done, addresses, deadline_ms):
         """Asks one store after the other until one gives a clear answer."""
-        def answered(answer, problem):
-            if (problem is not None or not answer or answer[0] == 503) and len(addresses) > 1:
-                self.ask_stores(kind, body, done, addresses[1:], cutoff_ms)
+        def answered(answer, failure):
+            if (failure is not None or not answer or answer[0] == 503) and len(addresses) > 1:
+                self.ask_stores(kind, body, done, addresses[1:], deadline_ms)
             else:
-                done(answer, problem)
-        self.board.call(addresses[0], kind, body, cutoff_ms, answered)
+                done(answer, failure)
+        self.board.call(addresses[0], kind, body, deadline_ms, answered)
 
     def show_session(self, session, answer):
         """The record of a session, as a majority of its group has it."""
@@ -636,9 +636,9 @@
             answer(404, {"error": "no route asks for affinity"})
             return
 
-        def heard(name, peer, reply, problem):
+        def heard(name, peer, reply, failure):
             waiting[name].discard(peer)
-            if problem is None and reply and reply[0]:
+            if failure is None and reply and reply[0]:
                 found.setdefault(name, []).append(reply[1])
             if any(waiting.values()):
                 return
@@ -652,12 +652,12 @@
                 for fields in got:
                     if fields is not None:
                         record.join(record_from(fields, self.context.now_ms()))
-                if record.number or record.jobs:
-                    rows.append({"group": name, "epoch": record.number, "holder": record.holder.partition("#")[0],
-                                 "endpoints": record.pins, "jobs": [
+                if record.number or record.requests:
+                    rows.append({"group": name, "version": record.number, "holder": record.holder.partition("#")[0],
+                                 "endpoints": record.pins, "requests": [
                                      {"key": key, "state": STATES[entry.state], "by": entry.by.partition("#")[0],
                                       "keptForS": int((entry.expires_ms - self.context.now_ms()) / 1000)}
-                                     for key, entry in sorted(record.jobs.items())]})
+                                     for key, entry in sorted(record.requests.items())]})
             if silent:
                 answer(503, {"error": f"no majority of the groups {', '.join(silent)} answers"})
             elif not rows:
@@ -667,10 +667,10 @@
         for name, peers in list(waiting.items()):
             for peer in list(peers):
                 self.board.call(peer, wire.SESSION_LOOK, [name, self.value.sessions[name][0], session],
-                                self.interval_ms, lambda reply, problem, name=name, peer=peer:
-                                heard(name, peer, reply, problem))
+                                self.interval_ms, lambda reply, failure, name=name, peer=peer:
+                                heard(name, peer, reply, failure))
 
-    def on_claim_wanted(self, peer, body, reply):
+    def on_lease_wanted(self, peer, body, reply):
         """A proxy asks whether its table is the newest: one question to the register serves all that asked before it."""
         ask_no, *told = body
         self.claimants.append((peer, ask_no))
@@ -685,12 +685,12 @@
         outcomes, self.outcomes = list(self.outcomes.values()), {}
         self.confirming = True
 
-        def answered(answer, problem):
+        def answered(answer, failure):
             self.confirming = False
-            if problem is None and answer and answer[0] == 200:
+            if failure is None and answer and answer[0] == 200:
                 newest = int(answer[1])
                 for proxy, ask_no in asking:
-                    self.board.cast(proxy, wire.CLAIM, [ask_no, newest])
+                    self.board.cast(proxy, wire.LEASE, [ask_no, newest])
                 if self.value is None or newest > self.value.serial:
                     self.pull_value()
             self.ask_newest()
@@ -716,7 +716,7 @@
         """Healthy endpoints and their slots by software version."""
         found = {}
         for life in self.lives.parts.get(part_of(service), {}).values():
-            if life.service == service and life.state == READY and life.sound:
+            if life.service == service and life.state == READY and life.healthy:
                 endpoints, slots = found.get(life.software, (0, 0))
                 found[life.software] = endpoints + 1, slots + life.slots
         return found
@@ -774,11 +774,11 @@
     def explain(self, asked, answer):
         """Which rows were weighed for a host and path, and which won."""
         host, path, zone, tenant = (asked.get(name, [""])[0] for name in ("host", "path", "zone", "tenant"))
-        areas = self.context.settings.areas
+        zones = self.context.settings.zones
         if not host or not path.startswith("/"):
             answer(400, {"error": "host: want a name; path: want one that begins with a slash"})
             return
-        if zone and zone not in areas:
+        if zone and zone not in zones:
             answer(400, {"error": f"zone: {zone} is not known"})
             return
 
@@ -790,8 +790,8 @@
             own = [route for route in config.get("routes", ())
                    if route["host"].lower() == host.lower() and path.startswith(route["pathPrefix"])]
             own.sort(key=lambda route: -len(route["pathPrefix"]))
-            words = self.partners.weigh(host.lower(), path, zone, areas.get(zone, ""), tenant)
-            row = None if own else self.partners.find(host.lower(), path, zone, areas.get(zone, ""), tenant)
+            words = self.partners.weigh(host.lower(), path, zone, zones.get(zone, ""), tenant)
+            row = None if own else self.partners.find(host.lower(), path, zone, zones.get(zone, ""), tenant)
             answer(200, {"serial": self.value.serial, "mark": self.partners.mark,
                          "own": [route.get("name") or route["pathPrefix"] for route in own],
                          "weighed": [{**each.fields(), "against": against} for each, against in words],
@@ -799,29 +799,29 @@
                          else f"partner {row.partner}, {row.prefix}" if row else ""})
         self.partner_table(shown)
 
-    def got_value(self, answer, problem):
-        if problem is None and answer:
+    def got_value(self, answer, failure):
+        if failure is None and answer:
             self.take_value(read_value(answer))
 
     def on_value_wanted(self, peer, body, reply):
         reply(self.value.packed if self.value else b"")
 
     def order(self, order, payload, answer):
-        """An operator's order, relayed to the store."""
-        def answered(reply, problem):
-            if problem is None and reply and len(reply) > 2 and reply[2] > 0:
+        """An operator's order, forwarded to the store."""
+        def answered(reply, failure):
+            if failure is None and reply and len(reply) > 2 and reply[2] > 0:
                 self.context.after(reply[2], answer, reply[0], reply[1])
-            elif problem is None and reply:
+            elif failure is None and reply:
                 answer(reply[0], reply[1])
             else:
-                answer(503, f"no store answers: {problem}")
+                answer(503, f"no store answers: {failure}")
         self.ask_stores(wire.ORDER, [order, payload, False], answered, self.stores()[:3],
                        self.context.settings.bounds.ack_deadline_ms * 0.23)
 
     # proxies
 
     def on_subscribe(self, peer, body, reply):
-        front, area, region, ready, serial, report, *table = body
+        front, zone, region, ready, serial, report, *table = body
         now_ms = self.context.now_ms()
         known = self.subscribers.get(peer)
         fresh = known is None or serial < 0
@@ -835,7 +835,7 @@
             if reply is not None:
                 reply(1)
             return
-        subscriber = Subscriber(peer, front, area, region, ready, serial, now_ms)
+        subscriber = Subscriber(peer, front, zone, region, ready, serial, now_ms)
         subscriber.report = known.report if known is not None else report
         self.subscribers[peer] = subscriber
         if changed:
@@ -864,7 +864,7 @@
 
     def my_attached(self):
         """The proxies that this registry feeds, as the directory wants them."""
-        return sorted([subscriber.address, subscriber.front, subscriber.area, subscriber.region, bool(subscriber.ready)]
+        return sorted([subscriber.address, subscriber.front, subscriber.zone, subscriber.region, bool(subscriber.ready)]
                       for subscriber in self.subscribers.values())
 
     def attached_mark(self, rows):
@@ -883,13 +883,13 @@
         for proxy, *rest in body:
             rows.pop(proxy, None)
             if rest:
-                front, area, region, ready = rest
-                rows[proxy] = [proxy, front, area, region, bool(ready)]
+                front, zone, region, ready = rest
+                rows[proxy] = [proxy, front, zone, region, bool(ready)]
         self.attached[peer] = sorted(rows.values())
 
     def got_attached(self, peer, rows):
         """All proxies that another registry feeds."""
-        self.attached[peer] = [[proxy, front, area, region, bool(ready)] for proxy, front, area, region, ready in rows]
+        self.attached[peer] = [[proxy, front, zone, region, bool(ready)] for proxy, front, zone, region, ready in rows]
 
     def on_attached_wanted(self, peer, body, reply):
         reply(self.my_attached())
@@ -903,7 +903,7 @@
         if self.subscribers.pop(proxy, None) is not None:
             self.announce(proxy)
 
-    def stream_lost(self, peer):
+    def connection_lost(self, peer):
         if peer in self.subscribers:
             self.drop(peer)
 
@@ -913,15 +913,15 @@
             subscriber.serial = body[0]
             self.feed_value(subscriber)
 
-    def resolve(self, area, region):
-        """The fronts for a client of this area: ready, near ones first."""
+    def resolve(self, zone, region):
+        """The fronts for a client of this zone: ready, near ones first."""
         lists = [self.my_attached()] + [rows for registry, rows in self.attached.items() if self.live(registry)]
-        ready = {(front, its_area, its_region) for rows in lists for _, front, its_area, its_region, is_ready in rows
+        ready = {(front, its_zone, its_region) for rows in lists for _, front, its_zone, its_region, is_ready in rows
                  if is_ready and front}
-        return fronts_for(area, region or self.context.settings.areas.get(area, ""), ready)
+        return fronts_for(zone, region or self.context.settings.zones.get(zone, ""), ready)
 
     def stand(self):
-        """What this registry knows, for the tools: members, parts, endpoints, proxies and where jobs went."""
+        """What this registry knows, for the tools: members, parts, endpoints, proxies and where requests went."""
         now_ms = self.context.now_ms()
         membership = self.membership
         return {
@@ -931,21 +931,21 @@
             "version": f"r{self.value.version}" if self.value else "",
             "evacuated": list(self.value.evacuated) if self.value else [],
             "votes": list(self.value.group) if self.value else [],
-            "areas": self.context.settings.areas,
+            "zones": self.context.settings.zones,
             "sessions": self.sessions.stand() if self.sessions is not None else {},
             "partners": {"rows": len(self.partners.rows), "mark": self.partners.mark,
                          "offers": sorted(self.value.offers) if self.value else []},
             "duties": self.duties.stand() if self.duties is not None else {},
-            "members": [{"address": m.address, "program": m.program, "area": m.area, "region": m.region,
+            "members": [{"address": m.address, "program": m.program, "zone": m.zone, "region": m.region,
                          "state": STATE_NAMES[m.state], "reachable": membership.reachable(m.address)}
                         for m in membership.state.sorted()],
             "parts": {part: {"group": list(self.group_of(part)), "owner": self.owners.get(part, ("", 0))[0] or ""}
                       for part in PARTS},
-            "endpoints": [{"id": life.id, "service": life.service, "address": life.address, "area": life.area,
+            "endpoints": [{"id": life.id, "service": life.service, "address": life.address, "zone": life.zone,
                            "slots": life.slots, "state": ("ready", "draining", "gone")[life.state],
-                           "sound": life.sound, "coldLeftMs": max(0, int(life.cold_ms - (now_ms - life.heard_ms)))}
+                           "healthy": life.healthy, "coldLeftMs": max(0, int(life.cold_ms - (now_ms - life.heard_ms)))}
                           for life in self.lives.by_id.values()],
-            "proxies": [{"address": s.address, "front": s.front, "area": s.area, "region": s.region,
+            "proxies": [{"address": s.address, "front": s.front, "zone": s.zone, "region": s.region,
                          "ready": bool(s.ready), "report": s.report, "table": s.table,
                          "delays": s.report[5] if len(s.report) > 5 else []} for s in self.subscribers.values()],
         }
--- a/stagevale/rehearsing/__init__.py
+++ b/stagevale/rehearsing/__init__.py
@@ -3,19 +3,19 @@
 import random
 
 from stagevale.balancing import Chooser, Target
-from stagevale.balancing.digest import Digest, Limits, Route, Service
+from stagevale.balancing.snapshot import Snapshot, Limits, Route, Service
 from stagevale.placement import fronts_for
-from stagevale.relaying import SHED_SHARE
+from stagevale.forwarding import REFUSE_SHARE
 
 PURE, EFFECTFUL = "repeatable", "at most once"
 
 
-class RehearsalProblem(Exception):
+class RehearsalFailure(Exception):
     """Why there is nothing to rehearse; the message names what is missing."""
 
 
 class Flow:
-    """Jobs of one route that reach one front."""
+    """Requests of one route that reach one front."""
 
     __slots__ = ("route", "service", "per_s", "work_ms", "bytes", "went")
 
@@ -29,25 +29,25 @@
 
 
 class Tally:
-    """What became of the jobs of one route."""
+    """What became of the requests of one route."""
 
-    __slots__ = ("kind", "jobs", "in_aim", "late", "shed", "areas", "runs")
+    __slots__ = ("kind", "requests", "in_aim", "late", "refuse", "zones", "runs")
 
     def __init__(self, kind):
         self.kind = kind
-        self.jobs = self.in_aim = self.late = self.shed = self.runs = 0
-        self.areas = {}
+        self.requests = self.in_aim = self.late = self.refuse = self.runs = 0
+        self.zones = {}
 
     def row(self, region_of):
         regions = {}
-        for area, count in self.areas.items():
-            regions[region_of.get(area, "?")] = regions.get(region_of.get(area, "?"), 0) + count
-        sent = max(1, sum(self.areas.values()))
-        jobs = max(1, self.jobs)
-        return {"kind": self.kind, "jobs": self.jobs, "inAim": round(self.in_aim / jobs, 3),
-                "late": round(self.late / jobs, 3), "shed": round(self.shed / jobs, 3),
+        for zone, count in self.zones.items():
+            regions[region_of.get(zone, "?")] = regions.get(region_of.get(zone, "?"), 0) + count
+        sent = max(1, sum(self.zones.values()))
+        requests = max(1, self.requests)
+        return {"kind": self.kind, "requests": self.requests, "inAim": round(self.in_aim / requests, 3),
+                "late": round(self.late / requests, 3), "refuse": round(self.refuse / requests, 3),
                 "regions": {region: round(count / sent, 3) for region, count in sorted(regions.items())},
-                "areas": {area: round(count / sent, 3) for area, count in sorted(self.areas.items())},
+                "zones": {zone: round(count / sent, 3) for zone, count in sorted(self.zones.items())},
                 "mostRunsOfAJob": self.runs}
 
 
@@ -67,50 +67,50 @@
         self.services = {row["name"]: Service(row) for row in config["services"]}
         speeds = {}
         for stand in stands:
-            self.region_of.update(stand["areas"])
+            self.region_of.update(stand["zones"])
             for row in stand["endpoints"]:
-                if row["state"] == "ready" and row["sound"]:
+                if row["state"] == "ready" and row["healthy"]:
                     self.endpoints[row["id"]] = row
             for row in stand["proxies"]:
-                self.fronts[row["address"]] = (row["front"], row["area"], row["region"])
+                self.fronts[row["address"]] = (row["front"], row["zone"], row["region"])
                 if not row["report"]:
                     continue
                 span_ms, flows, learned, ways = row["report"][:4]
                 for id, speed in learned:
                     speeds.setdefault(id, []).append(speed)
-                self.rtt_ms[row["area"]] = dict(ways)
+                self.rtt_ms[row["zone"]] = dict(ways)
                 for name, service, pure, work_ms, size, went in flows:
                     went = dict(went)
                     went.pop("again", None)
-                    jobs = sum(went.values())
-                    if name in self.routes and jobs:
+                    requests = sum(went.values())
+                    if name in self.routes and requests:
                         self.flows.setdefault(row["address"], []).append(
-                            Flow(self.routes[name], service, jobs * 1000.0 / max(1, span_ms), work_ms, size, went))
+                            Flow(self.routes[name], service, requests * 1000.0 / max(1, span_ms), work_ms, size, went))
                         tally = self.seen.setdefault(name, {})
-                        for area, count in went.items():
-                            tally[area] = tally.get(area, 0) + count
+                        for zone, count in went.items():
+                            tally[zone] = tally.get(zone, 0) + count
         for id, values in speeds.items():
             self.speeds[id] = sum(values) / len(values)
         if not self.fronts:
-            raise RehearsalProblem("no proxy is fed by the registries that were asked")
+            raise RehearsalFailure("no proxy is fed by the registries that were asked")
         if not self.flows:
-            raise RehearsalProblem("no proxy has reported jobs yet; ask again while traffic runs")
+            raise RehearsalFailure("no proxy has reported requests yet; ask again while traffic runs")
         if not self.endpoints:
-            raise RehearsalProblem("no sound endpoint is known")
+            raise RehearsalFailure("no healthy endpoint is known")
 
 
 class Place:
     """What the steering rules want to know of their surroundings, for one modelled front."""
 
-    __slots__ = ("settings", "random", "area", "region", "bounds")
+    __slots__ = ("settings", "random", "zone", "region", "bounds")
 
-    def __init__(self, area, region, bounds, rng):
+    def __init__(self, zone, region, bounds, rng):
         self.settings = self
-        self.area, self.region, self.bounds, self.random = area, region, bounds, rng
+        self.zone, self.region, self.bounds, self.random = zone, region, bounds, rng
 
 
 class Trial:
-    """One job in the model."""
+    """One request in the model."""
 
     __slots__ = ("route", "service", "start_ms", "tried", "expected_ms", "flow", "front", "runs", "homes", "prefers")
 
@@ -125,18 +125,18 @@
 class Front:
     """A modelled proxy: the real chooser, its own view of every endpoint."""
 
-    __slots__ = ("chooser", "digest", "area", "region")
+    __slots__ = ("chooser", "snapshot", "zone", "region")
 
-    def __init__(self, plan, address, area, region, proxies, lost, flows, rng):
-        self.area, self.region = area, region
-        self.chooser = Chooser(Place(area, region, plan.bounds, rng), address)
-        self.chooser.rtt_ms = dict(plan.rtt_ms.get(area, {}))
+    def __init__(self, plan, address, zone, region, proxies, lost, flows, rng):
+        self.zone, self.region = zone, region
+        self.chooser = Chooser(Place(zone, region, plan.bounds, rng), address)
+        self.chooser.rtt_ms = dict(plan.rtt_ms.get(zone, {}))
         tables = {}
         for row in plan.endpoints.values():
-            its_region = plan.region_of.get(row["area"], "")
+            its_region = plan.region_of.get(row["zone"], "")
             if its_region == lost:
                 continue
-            target = Target(row["id"], row["service"], row["address"], row["area"], its_region, row["slots"])
+            target = Target(row["id"], row["service"], row["address"], row["zone"], its_region, row["slots"])
             target.speed = plan.speeds.get(row["id"], 1.0)
             tables.setdefault(row["service"], []).append(target)
         for flow in flows:
@@ -145,7 +145,7 @@
         counted = [(flow.bytes, flow.per_s) for flow in flows]
         if counted:
             self.chooser.mean_bytes = max(1.0, sum(b * n for b, n in counted) / max(0.001, sum(n for _, n in counted)))
-        self.digest = Digest(0, {}, plan.services, Limits({}), plan.evacuated,
+        self.snapshot = Snapshot(0, {}, plan.services, Limits({}), plan.evacuated,
                              {service: tuple(targets) for service, targets in tables.items()}, proxies)
 
     def way_ms(self, target):
@@ -159,14 +159,14 @@
         return {address: list(flows) for address, flows in plan.flows.items()}
     ready = {row for row in plan.fronts.values() if row[2] != lost}
     if not ready:
-        raise RehearsalProblem(f"without {lost} no front is left")
+        raise RehearsalFailure(f"without {lost} no front is left")
     by_front = {row[0]: address for address, row in plan.fronts.items()}
     moved = {address: list(flows) for address, flows in plan.flows.items() if plan.fronts[address][2] != lost}
     for address, flows in plan.flows.items():
-        _, area, region = plan.fronts[address]
+        _, zone, region = plan.fronts[address]
         if region != lost:
             continue
-        takers = fronts_for(area, region, ready)
+        takers = fronts_for(zone, region, ready)
         for flow in flows:
             for front in takers:
                 moved.setdefault(by_front[front], []).append(
@@ -175,13 +175,13 @@
 
 
 def rehearse(plan, lost="", seconds=20, seed=1):
-    """Plays jobs at the rates seen against the modelled endpoints; returns a tally for each route."""
+    """Plays requests at the rates seen against the modelled endpoints; returns a tally for each route."""
     rng = random.Random(seed)
     flows = shifted(plan, lost)
     alive = {address: row for address, row in plan.fronts.items() if row[2] != lost}
-    proxies = tuple((address, area, region) for address, (_, area, region) in sorted(alive.items()))
-    fronts = {address: Front(plan, address, area, region, proxies, lost, flows.get(address, ()), rng)
-              for address, (_, area, region) in alive.items()}
+    proxies = tuple((address, zone, region) for address, (_, zone, region) in sorted(alive.items()))
+    fronts = {address: Front(plan, address, zone, region, proxies, lost, flows.get(address, ()), rng)
+              for address, (_, zone, region) in alive.items()}
     running = {id: 0 for id in plan.endpoints}
     queues = {id: [] for id in plan.endpoints}
     tallies = {}
@@ -199,33 +199,33 @@
 
     def offer(trial, now_ms):
         front = fronts[trial.front]
-        target = front.chooser.choose(trial, front.digest, now_ms)
+        target = front.chooser.choose(trial, front.snapshot, now_ms)
         tally = tallies.setdefault(trial.route.name, Tally(PURE if trial.route.pure else EFFECTFUL))
         if target is None:
-            if now_ms - trial.start_ms >= trial.route.target_ms * SHED_SHARE:
-                tally.jobs += 1
-                tally.shed += 1
+            if now_ms - trial.start_ms >= trial.route.target_ms * REFUSE_SHARE:
+                tally.requests += 1
+                tally.refuse += 1
             else:
-                put(now_ms + trial.route.target_ms * SHED_SHARE / 4, "offer", trial)
+                put(now_ms + trial.route.target_ms * REFUSE_SHARE / 4, "offer", trial)
             return
         trial.runs += 1
         tally.runs = max(tally.runs, trial.runs)
-        tally.areas[target.area] = tally.areas.get(target.area, 0) + 1
+        tally.zones[target.zone] = tally.zones.get(target.zone, 0) + 1
         target.took(now_ms)
         put(now_ms + front.way_ms(target), "arrive", trial, target)
 
     for address, rows in sorted(flows.items()):
         for flow in rows:
             if address in fronts and flow.per_s > 0:
-                put(rng.expovariate(flow.per_s) * 1000.0, "job", flow, address)
+                put(rng.expovariate(flow.per_s) * 1000.0, "request", flow, address)
     end_ms = seconds * 1000.0
     while events:
         now_ms, _, kind, what = heapq.heappop(events)
-        if kind == "job":
+        if kind == "request":
             flow, address = what
             if now_ms < end_ms:
                 offer(Trial(flow, address, now_ms), now_ms)
-                put(now_ms + rng.expovariate(flow.per_s) * 1000.0, "job", flow, address)
+                put(now_ms + rng.expovariate(flow.per_s) * 1000.0, "request", flow, address)
         elif kind == "offer":
             offer(what[0], now_ms)
         elif kind == "arrive":
@@ -243,7 +243,7 @@
                 start(*queues[target.id].pop(0), now_ms)
             front = fronts[trial.front]
             tally = tallies[trial.route.name]
-            tally.jobs += 1
+            tally.requests += 1
             if now_ms + front.way_ms(target) - trial.start_ms <= trial.route.target_ms:
                 tally.in_aim += 1
             else:
@@ -252,15 +252,15 @@
 
 
 def report(plan, lost, seconds, seed):
-    """The rehearsal as a table: for each kind and route where jobs go now, in the model, and without the region."""
+    """The rehearsal as a table: for each kind and route where requests go now, in the model, and without the region."""
     regions = set(plan.region_of.values())
     if lost not in regions:
-        raise RehearsalProblem(f"no region {lost}; there are {', '.join(sorted(regions))}")
+        raise RehearsalFailure(f"no region {lost}; there are {', '.join(sorted(regions))}")
     calm, after = rehearse(plan, "", seconds, seed), rehearse(plan, lost, seconds, seed)
     routes = []
     for name in sorted(after, key=lambda name: (after[name].kind, name)):
         seen = Tally(after[name].kind)
-        seen.areas = plan.seen.get(name, {})
+        seen.zones = plan.seen.get(name, {})
         homes = plan.routes[name].homes
         routes.append({"route": name, "kind": after[name].kind,
                        "seen": seen.row(plan.region_of)["regions"],
--- a/stagevale/rollouts/checking.py
+++ b/stagevale/rollouts/checking.py
@@ -4,7 +4,7 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.configuration.checking import ConfigProblem, check_version, fingerprint
+from stagevale.configuration.checking import ConfigFailure, check_version, fingerprint
 from stagevale.rollouts import DONE, ENDED, FALLEN, PAUSED, SHIFTING, Rollout
 
 ROLLOUT_BYTES = 64 * 1024
@@ -28,18 +28,18 @@
     try:
         table = json.loads(text)
     except (ValueError, RecursionError) as failure:
-        return Error(ConfigProblem(400, f"not JSON: {failure}"))
+        return Error(ConfigFailure(400, f"not JSON: {failure}"))
     try:
         table = ROLLOUT.check(table)
     except t.DataError as failure:
-        return Error(ConfigProblem(400, json.dumps(failure.as_dict(), default=str)))
+        return Error(ConfigFailure(400, json.dumps(failure.as_dict(), default=str)))
     if table["from"] == table["to"]:
-        return Error(ConfigProblem(400, "to: the same version as from"))
+        return Error(ConfigFailure(400, "to: the same version as from"))
     steps = table["steps"]
     if any(later <= earlier for earlier, later in zip(steps, steps[1:])):
-        return Error(ConfigProblem(400, "steps: want shares that rise"))
+        return Error(ConfigFailure(400, "steps: want shares that rise"))
     if steps[-1] != 1.0:
-        return Error(ConfigProblem(400, "steps: the last share must be 1"))
+        return Error(ConfigFailure(400, "steps: the last share must be 1"))
     return Ok(table)
 
 
--- a/stagevale/tenants/__init__.py
+++ b/stagevale/tenants/__init__.py
@@ -1,4 +1,4 @@
-"""Tenants: whose key a job bears, and what follows from it. Keys never leave this table."""
+"""Tenants: whose key a request bears, and what follows from it. Keys never leave this table."""
 
 SCHEME = b"bearer "
 
@@ -39,7 +39,7 @@
     return Keys(rows) if rows else None
 
 
-def tenants_problem(rows, regions):
+def tenants_failure(rows, regions):
     """Why checked rows of `tenants` can't be taken, naming the place and never a key; None where they can."""
     names, keys = set(), set()
     for number, row in enumerate(rows):
--- a/stagevale/wire/__init__.py
+++ b/stagevale/wire/__init__.py
@@ -38,8 +38,8 @@
 USAGE = 47
 COUNTS_WANTED = 48
 VACANT = 49
-CLAIM_WANTED = 50
-CLAIM = 51
+LEASE_WANTED = 50
+LEASE = 51
 SESSION_TAKE = 52
 SESSION_NOTE = 53
 SESSION_MARK = 54
@@ -50,7 +50,7 @@
 DUTIES = 60
 
 
-class WireProblem(Exception):
+class WireFailure(Exception):
     """A message that can't be read; carries the step and the peer."""
 
     def __init__(self, step, peer, why):
@@ -68,10 +68,10 @@
     """Bytes as a message: a list that begins with its kind. Raises WireProblem for anything else."""
     try:
         message = plain(flexbuffers.Loads(data))
-    except Exception as problem:
-        raise WireProblem(step, peer, repr(problem)) from None
+    except Exception as failure:
+        raise WireFailure(step, peer, repr(failure)) from None
     if not isinstance(message, list) or not message or not isinstance(message[0], int):
-        raise WireProblem(step, peer, "not a message")
+        raise WireFailure(step, peer, "not a message")
     return message
 
 
@@ -98,8 +98,8 @@
     """The rows that `packRows` was given."""
     try:
         return json.loads(unsqueeze(data) if data[:1] == b"x" else data) if data else []
-    except ValueError as problem:
-        raise WireProblem("rows", "a colleague", repr(problem)) from None
+    except ValueError as failure:
+        raise WireFailure("rows", "a peer", repr(failure)) from None
 
 
 def squeeze(data):
@@ -111,8 +111,8 @@
     """The bytes that `squeeze` was given."""
     try:
         return zlib.decompress(data)
-    except (zlib.error, TypeError) as problem:
-        raise WireProblem("unsqueeze", "a colleague", repr(problem)) from None
+    except (zlib.error, TypeError) as failure:
+        raise WireFailure("unsqueeze", "a peer", repr(failure)) from None
 
 
 def pack_address(address):
--- a/tests/simworld.py
+++ b/tests/simworld.py
@@ -33,7 +33,7 @@
 
 
 class SimTransport:
-    """One end of a stream."""
+    """One end of a connection."""
 
     def __init__(self, world, mine, theirs, protocol, silence_ms, local):
         self.world, self.mine, self.theirs, self.protocol = world, mine, theirs, protocol
@@ -100,13 +100,13 @@
             self.closed = True
             self.protocol.connection_lost(None)
 
-    def lose(self, problem):
+    def lose(self, failure):
         if not self.closed and self.world.thaw_ms(self.local) > 0:
-            self.world.later(self.world.thaw_ms(self.local), self.lose, problem)
+            self.world.later(self.world.thaw_ms(self.local), self.lose, failure)
         elif not self.closed:
             self.closed = True
             if self.world.up(self.mine):
-                self.protocol.connection_lost(problem)
+                self.protocol.connection_lost(failure)
 
 
 class World:
@@ -171,7 +171,7 @@
         return owner not in self.dead
 
     def kill(self, context):
-        """SIGKILL: the daemon's timers stop, its streams reset."""
+        """SIGKILL: the daemon's timers stop, its connections reset."""
         context.alive = False
         for address in [a for a, (c, _) in self.listeners.items() if c is context]:
             del self.listeners[address]
@@ -249,10 +249,10 @@
                 self.after(50, step)
                 return
             try:
-                result, problem = work(), None
+                result, failure = work(), None
             except Exception as caught:
-                result, problem = None, caught
-            self.after(1.0, done, result, problem)
+                result, failure = None, caught
+            self.after(1.0, done, result, failure)
         self.after(1.0, step)
 
 
@@ -306,17 +306,17 @@
 [daemon]
 name = "{name}"
 ip = "{ip}"
-area = "{area}"
+zone = "{zone}"
 region = "{region}"
 counted = {counted}
 firstStart = {first}
 dataPath = "/data"
-[streams]
+[connections]
 innerPorts = [7200, 7215]
 seeds = [{seeds}]
 [listen]
 {listen}
-[areas]
+[zones]
 a1 = "a"
 b1 = "b"
 c1 = "c"
@@ -328,7 +328,7 @@
 [bounds]
 contactMs = 4000
 """
-AREAS = ("a1", "b1", "c1", "a2", "b2", "c2")
+ZONES = ("a1", "b1", "c1", "a2", "b2", "c2")
 
 
 class Fleet:
@@ -338,16 +338,16 @@
         self.world = World(seed)
         self.more = more
         self.registries, self.stores, self.proxies = {}, {}, {}
-        for number, area in enumerate(AREAS):
-            self.world.regions[f"10.0.0.{number + 1}"] = area[0]
+        for number, zone in enumerate(ZONES):
+            self.world.regions[f"10.0.0.{number + 1}"] = zone[0]
             self.start_core(number, True)
         for number in range(proxies):
-            self.world.regions[f"10.0.1.{number + 1}"] = AREAS[number % 6][0]
+            self.world.regions[f"10.0.1.{number + 1}"] = ZONES[number % 6][0]
             self.start_proxy(number)
 
-    def settings(self, ip, area, listen, first):
+    def settings(self, ip, zone, listen, first):
         seeds = ", ".join(f'"10.0.0.{n}:8000"' for n in (1, 2, 3))
-        return read_settings(SETTINGS.format(name=f"node-{ip}", ip=ip, area=area, region=area[0], seeds=seeds,
+        return read_settings(SETTINGS.format(name=f"node-{ip}", ip=ip, zone=zone, region=zone[0], seeds=seeds,
                                             listen=listen, counted="true", first="true" if first else "false")
                             + self.more)
 
@@ -358,8 +358,8 @@
     def start_registry(self, number, first=False):
         from stagevale.programs.registry import Registry
         ip = f"10.0.0.{number + 1}"
-        self.world.regions[ip] = AREAS[number % 6][0]
-        settings = self.settings(ip, AREAS[number % 6], f'control = "{ip}:8000"\ndirectory = "{ip}:8001"', first)
+        self.world.regions[ip] = ZONES[number % 6][0]
+        settings = self.settings(ip, ZONES[number % 6], f'control = "{ip}:8000"\ndirectory = "{ip}:8001"', first)
         settings.data_path = ""
         logs = self.world.disks.setdefault("sessions " + ip, MemoryLog())
         daemon = Registry(SimContext(self.world, settings, f"registry-{number + 1}"), "/none")
@@ -375,10 +375,10 @@
         from stagevale.placement import place
         from stagevale.programs import Daemon
         ip = f"10.0.0.{number + 1}"
-        context = SimContext(self.world, self.settings(ip, AREAS[number % 6], "", first), f"store-{number + 1}")
+        context = SimContext(self.world, self.settings(ip, ZONES[number % 6], "", first), f"store-{number + 1}")
         daemon = Daemon(context, "store", 1, "/none")
         disk = self.world.disks.setdefault(ip, MemoryDisk())
-        daemon.membership.placer = lambda members, table, moves: place(members, table, moves, context.settings.areas)
+        daemon.membership.placer = lambda members, table, moves: place(members, table, moves, context.settings.zones)
         keeper = Keeper(context, daemon.board, daemon.membership, disk)
         self.stores[number] = keeper
         daemon.begin()
@@ -387,7 +387,7 @@
     def start_proxy(self, number):
         from stagevale.programs.proxy import Proxy
         ip = f"10.0.1.{number + 1}"
-        settings = self.settings(ip, AREAS[number % 6], f'front = "{ip}:9000"\nready = "{ip}:9001"', True)
+        settings = self.settings(ip, ZONES[number % 6], f'front = "{ip}:9000"\nready = "{ip}:9001"', True)
         daemon = Proxy(SimContext(self.world, settings, f"proxy-{number + 1}"), "/none")
         self.proxies[number] = daemon
         daemon.begin()
