--- a/tests/standins.py
+++ b/tests/standins.py
@@ -12,16 +12,16 @@
 [daemon]
 name = "proxy"
 ip = "10.0.1.1"
-area = "a1"
+zone = "a1"
 region = "a"
 firstStart = true
-[streams]
+[connections]
 innerPorts = [7200, 7215]
 seeds = ["10.0.0.1:8000"]
 [listen]
 front = "10.0.1.1:9000"
 ready = "10.0.1.1:9001"
-[areas]
+[zones]
 a1 = "a"
 a2 = "a"
 b1 = "b"
@@ -31,18 +31,18 @@
 class Endpoint:
     """An endpoint that answers by a rule: rule(endpoint, head, body) gives bytes, or None for silence."""
 
-    def __init__(self, world, number, rule, area="a1", service="s", software=""):
+    def __init__(self, world, number, rule, zone="a1", service="s", software=""):
         self.software = software
         self.world, self.rule, self.number = world, rule, number
         self.id, self.ip = f"i-{number}", f"10.9.0.{number}"
-        self.area, self.service = area, service
-        self.ran, self.heads, self.streams = [], [], []
-        world.regions[self.ip] = area[0]
+        self.zone, self.service = zone, service
+        self.ran, self.heads, self.connections = [], [], []
+        world.regions[self.ip] = zone[0]
         self.alive = True
         world.listeners[(self.ip, 80)] = (self, lambda: EndpointSide(self))
 
     def life(self, state=READY, cold_ms=0, seq=1):
-        return Life(self.id, self.service, f"{self.ip}:80", self.area, 3, state, seq, 0, seq if cold_ms else 0, cold_ms,
+        return Life(self.id, self.service, f"{self.ip}:80", self.zone, 3, state, seq, 0, seq if cold_ms else 0, cold_ms,
                     software=self.software)
 
 
@@ -52,7 +52,7 @@
 
     def connection_made(self, transport):
         self.transport = transport
-        self.endpoint.streams.append(transport)
+        self.endpoint.connections.append(transport)
 
     def data_received(self, data):
         self.buffer += data
@@ -76,7 +76,7 @@
 
 
 def good(endpoint, fields, body, text=b"fine", extra=b""):
-    """The whole answer of an endpoint that ran the job."""
+    """The whole answer of an endpoint that ran the request."""
     id = fields[b"attempt-id"]
     endpoint.ran.append(id.decode())
     return (b"HTTP/1.1 200 OK\r\nAttempt-Id: " + id + b"\r\nServer-Seal: seal." + id + b"\r\nContent-Length: "
@@ -84,7 +84,7 @@
 
 
 class Client(asyncio.Protocol):
-    """A client's stream: sends raw bytes, keeps what comes back."""
+    """A client's connection: sends raw bytes, keeps what comes back."""
 
     def __init__(self, world):
         self.world, self.got, self.closed = world, b"", False
@@ -95,7 +95,7 @@
     def data_received(self, data):
         self.got += data
 
-    def connection_lost(self, problem):
+    def connection_lost(self, failure):
         self.closed = True
 
     def statuses(self):
@@ -103,7 +103,7 @@
 
 
 def client_at(world, ip):
-    """A client's stream to the front at `ip`, or None where nobody listens."""
+    """A client's connection to the front at `ip`, or None where nobody listens."""
     found = world.listeners.get((ip, 9000))
     if found is None:
         return None
@@ -133,28 +133,28 @@
                        "limits": {"headerMaxBytes": 2000, "bodyMaxBytes": 5000, "headerReadMs": 1000, "idleMs": 5000},
                        **(more or {})}
         self.value = Value(1, 1, json.dumps(self.config), (), (), {})
-        self.digest(self.value)
+        self.snapshot(self.value)
 
     def change(self, **more):
         """The next configuration, with these things changed."""
         self.config = {**self.config, **more}
         self.value = self.value.after(version=self.value.version + 1, config=json.dumps(self.config))
-        self.digest(self.value)
+        self.snapshot(self.value)
 
-    def digest(self, value):
-        self.proxy.relay.digest = self.proxy.relay.digest.with_value(value)
+    def snapshot(self, value):
+        self.proxy.forwarder.snapshot = self.proxy.forwarder.snapshot.with_value(value)
         self.proxy.lives_heard = True
-        self.proxy.relay.digest = self.proxy.relay.digest.with_proxies((("10.0.1.1:7200", "a1", "a"),))
+        self.proxy.forwarder.snapshot = self.proxy.forwarder.snapshot.with_proxies((("10.0.1.1:7200", "a1", "a"),))
 
-    def endpoint(self, rule=good, area="a1", service="s"):
-        endpoint = Endpoint(self.world, len(self.endpoints) + 1, rule, area, service)
+    def endpoint(self, rule=good, zone="a1", service="s"):
+        endpoint = Endpoint(self.world, len(self.endpoints) + 1, rule, zone, service)
         self.endpoints.append(endpoint)
         self.tell(endpoint.life())
         return endpoint
 
     def tell(self, life):
-        self.proxy.take_life(life, self.world.env.now, self.proxy.relay.digest)
-        self.proxy.relay.digest = self.proxy.relay.digest.with_targets(self.proxy.tables())
+        self.proxy.take_life(life, self.world.env.now, self.proxy.forwarder.snapshot)
+        self.proxy.forwarder.snapshot = self.proxy.forwarder.snapshot.with_targets(self.proxy.tables())
 
     def client(self, data=b""):
         client = client_at(self.world, "10.0.1.1")
@@ -168,7 +168,7 @@
             "timeoutMs": 2000, "targetMs": 400, "priority": 1, "service": "s", "maxAttempts": 2, **more}
 
 
-def job(path="/p/x", id="1", method="GET", body=b"", host="h.example", more=b""):
+def request(path="/p/x", id="1", method="GET", body=b"", host="h.example", more=b""):
     head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: {id}\r\nDeadline-Ms: 1500\r\n".encode() + more
     if body:
         head += b"Content-Length: " + str(len(body)).encode() + b"\r\n"
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -4,8 +4,8 @@
 import pytest
 
 from simworld import Fleet
-from standins import Endpoint, client_at, good, job
-from stagevale.affinity import ANSWERED, FREE, NOTED, Entry, Record, choose_members, digest_of, tend
+from standins import Endpoint, client_at, good, request
+from stagevale.affinity import ANSWERED, FREE, NOTED, Entry, Record, choose_members, snapshot_of, tend
 from stagevale.affinity.log import SessionLog
 from stagevale.configuration.checking import read_config
 from stagevale.configuration.disk import Folder
@@ -34,17 +34,17 @@
         assert self.fleet.insist([0], "replace", json.dumps(CONFIG))[0] == 200
         self.runs, self.clients, self.work_ms, self.rule, self.number = [], [], 60, None, 0
         self.endpoints = []
-        for place, area in enumerate(("a1", "b1", "c1", "a2", "b2", "c2")):
-            endpoint = Endpoint(self.world, place + 1, self.run, area)
+        for place, zone in enumerate(("a1", "b1", "c1", "a2", "b2", "c2")):
+            endpoint = Endpoint(self.world, place + 1, self.run, zone)
             self.endpoints.append(endpoint)
             self.beat(place, endpoint, 1)
         assert self.world.until(self.ready, 20000)
         for proxy in self.fleet.proxies.values():
-            proxy.relay.holdings.noting = noting
+            proxy.forwarder.holdings.noting = noting
 
     def ready(self):
-        return all(len(p.targets) == 6 and len(p.relay.digest.sessions) == 16 and not
-                   any(before for _, _, before in p.relay.digest.sessions.values())
+        return all(len(p.targets) == 6 and len(p.forwarder.snapshot.sessions) == 16 and not
+                   any(before for _, _, before in p.forwarder.snapshot.sessions.values())
                    for p in self.fleet.proxies.values() if p.context.alive)
 
     def beat(self, place, endpoint, seq):
@@ -63,7 +63,7 @@
         return good(endpoint, fields, body, b"run " + str(len(self.runs)).encode()), self.work_ms
 
     def send(self, proxy, key, session="fan", path="/e/x", body=b"crate", more=b""):
-        """Sends a job to a site; the client, or None where there is no site."""
+        """Sends a request to a site; the client, or None where there is no site."""
         self.number += 1
         ip = f"10.0.1.{proxy + 1}"
         client = client_at(self.world, ip)
@@ -74,7 +74,7 @@
             heads += b"Session-Id: " + session.encode() + b"\r\n"
         if key is not None:
             heads += b"Idempotency-Key: " + key.encode() + b"\r\n"
-        client.transport.write(job(path, f"a{self.number}", "POST" if body else "GET", body, more=heads + more))
+        client.transport.write(request(path, f"a{self.number}", "POST" if body else "GET", body, more=heads + more))
         client.id = f"a{self.number}"
         return client
 
@@ -100,7 +100,7 @@
     assert day.answer(day.send(3, "k2")) == "200" and day.ran("k2") == 1
 
 
-def test_a_repeat_under_way_gets_its_answer_when_it_comes_or_409_at_the_cutoff():
+def test_a_repeat_under_way_gets_its_answer_when_it_comes_or_409_at_the_deadline():
     day = Crossing(seed=2)
     day.work_ms = 700
     first = day.send(0, "k1")
@@ -178,7 +178,7 @@
     plain = {**CONFIG, "routes": [route("/e/", "effectful", affinity=None)]}
     assert fleet.insist([0], "replace", json.dumps(plain), 20000)[0] == 200
     fleet.world.run(4000)
-    assert fleet.proxies[0].relay.holdings is None
+    assert fleet.proxies[0].forwarder.holdings is None
     assert all(registry.desk.sessions is None for registry in fleet.registries.values())
 
 
@@ -190,7 +190,7 @@
         for name, group in registry.desk.sessions.groups.items():
             if name.startswith("a,b|") and group.records:
                 assert registry.membership.me.region in ("a", "b")
-    groups = day.fleet.proxies[0].relay.digest.sessions
+    groups = day.fleet.proxies[0].forwarder.snapshot.sessions
     region_of = {r.board.address: r.membership.me.region for r in day.fleet.registries.values()}
     for name, (_, members, _) in groups.items():
         assert len(members) == 3
@@ -334,16 +334,16 @@
     assert got["doubles"] > 10, got
 
 
-def test_a_turn_of_a_later_epoch_goes_over_a_late_word_on_an_earlier_one():
+def test_a_turn_of_a_later_version_goes_over_a_late_word_on_an_earlier_one():
     """A note that never had a majority, freed later than the next holder's note: taken for free, it would run twice."""
     one, other = Record(2, "p2"), Record(1, "p1")
-    one.jobs["k"] = Entry((2, "p2", 1), NOTED, "d", "p2", None, 9e9)
-    other.jobs["k"] = Entry((1, "p1", 1), FREE, "d", "p1", None, 9e9)
+    one.requests["k"] = Entry((2, "p2", 1), NOTED, "d", "p2", None, 9e9)
+    other.requests["k"] = Entry((1, "p1", 1), FREE, "d", "p1", None, 9e9)
     for first, second in ((one, other), (other, one)):
         joined = Record()
         joined.join(first)
         joined.join(second)
-        assert joined.jobs["k"].state == NOTED and joined.epoch() == (2, "p2")
+        assert joined.requests["k"].state == NOTED and joined.version() == (2, "p2")
 
 
 def test_groups_change_one_member_at_a_time_and_only_when_settled():
@@ -357,11 +357,11 @@
     assert all(r.region == "a" for r in registries if r.address in sessions["a|0"][1])
     lost = sessions["|0"][1][0]
     assert tend(sessions, [], registries, {lost}) is None
-    settled = {name: (epoch, members, ()) for name, (epoch, members, _) in sessions.items()}
+    settled = {name: (version, members, ()) for name, (version, members, _) in sessions.items()}
     after = tend(settled, [], [r for r in registries if r.address != lost], {lost})
     assert after["|0"][0] == 2 and after["|0"][2] == settled["|0"][1]
     assert lost not in after["|0"][1] and len(set(after["|0"][1]) & set(settled["|0"][1])) == 2
-    assert choose_members("|1", registries[:2], ()) and digest_of(b"POST", b"/a", b"x") != digest_of(b"POST", b"/a", b"y")
+    assert choose_members("|1", registries[:2], ()) and snapshot_of(b"POST", b"/a", b"x") != snapshot_of(b"POST", b"/a", b"y")
 
 
 def test_the_log_survives_torn_batches_and_is_written_whole_in_time(tmp_path):
@@ -396,7 +396,7 @@
     assert day.world.until(lambda: len(shown) == 2, 3000)
     assert sorted(status for status, _ in shown) == [200, 404]
     record = next(body for status, body in shown if status == 200)["records"][0]
-    assert record["holder"] == "10.0.1.2:7200" and [(j["key"], j["state"]) for j in record["jobs"]] == [("k1", "answered"),
+    assert record["holder"] == "10.0.1.2:7200" and [(j["key"], j["state"]) for j in record["requests"]] == [("k1", "answered"),
                                                                                         ("k2", "answered")]
     stands = [registry.desk.stand()["sessions"] for registry in day.fleet.registries.values()]
     assert sum(stand["handedOver"] for stand in stands) >= 2 and sum(stand["noted"] for stand in stands) >= 4
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -22,17 +22,17 @@
 name = "{name}"
 machineClass = "{klass}"
 ip = "{ip}"
-area = "a1"
+zone = "a1"
 region = "a"
 counted = true
 firstStart = true
 {data}
-[streams]
+[connections]
 innerPorts = [{inner}, {innerEnd}]
 seeds = ["127.0.0.1:{control}"]
 [listen]
 {listen}
-[areas]
+[zones]
 a1 = "a"
 [terms]
 beatMs = 500
@@ -77,13 +77,13 @@
 
 
 def call(ip, port, method, path, body=None):
-    stream = http.client.HTTPConnection(ip, port, timeout=10)
+    connection = http.client.HTTPConnection(ip, port, timeout=10)
     try:
-        stream.request(method, path, body)
-        answer = stream.getresponse()
+        connection.request(method, path, body)
+        answer = connection.getresponse()
         return answer.status, answer.read()
     finally:
-        stream.close()
+        connection.close()
 
 
 def test_real_daemons_form_take_a_configuration_and_are_found_clean(tmp_path, capsys):
@@ -124,7 +124,7 @@
         found = json.loads(capsys.readouterr().out)["findings"]
         assert all(row["where"] == "s" for row in found), found
         assert app(["rehearse", "a", "--control", f"127.0.0.1:{control}"]) == 2
-        assert "no proxy has reported jobs yet" in capsys.readouterr().err
+        assert "no proxy has reported requests yet" in capsys.readouterr().err
         partners_and_sessions(tmp_path, capsys, f"127.0.0.1:{control}")
 
         files["proxy"].write_text("nonsense")
@@ -194,9 +194,9 @@
 
 
 @pytest.mark.parametrize("change, word", [
-    (("ip = \"{ip}\"", "ip = 5"), "daemon.ip"), (("[{inner}, {innerEnd}]", "[5]"), "streams.innerPorts"),
+    (("ip = \"{ip}\"", "ip = 5"), "daemon.ip"), (("[{inner}, {innerEnd}]", "[5]"), "connections.innerPorts"),
     (("contactMs = 1000", "contactMs = -1"), "bounds.contactMs"), (("[daemon]", "[daemon"), "not TOML"),
-    (('seeds = ["127.0.0.1:{control}"]', 'seeds = ["here"]'), "streams.seeds")])
+    (('seeds = ["127.0.0.1:{control}"]', 'seeds = ["here"]'), "connections.seeds")])
 def test_invalid_settings_name_the_field_and_exit_2(tmp_path, change, word):
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace(*change).format(name="n", ip="127.0.0.1", klass="core", listen="", data="",
@@ -235,7 +235,7 @@
     stand = {"inContact": False, "evacuated": ["a1"], "votes": ["x:1", "y:1", "z:1"],
              "members": [{"address": "x:1", "program": "store", "state": "up", "reachable": True},
                          {"address": "y:1", "program": "store", "state": "down", "reachable": True}],
-             "endpoints": [{"service": "s", "state": "ready", "sound": False}]}
+             "endpoints": [{"service": "s", "state": "ready", "healthy": False}]}
 
     class Answers(BaseHTTPRequestHandler):
         def do_GET(self):
@@ -259,5 +259,5 @@
         server.server_close()
     text = capsys.readouterr().out
     for word in ("does not hear a majority", "y:1: store is down", "no majority of the configuration's voters",
-                 "evacuated: a1", "no endpoint is sound", "can't be read"):
+                 "evacuated: a1", "no endpoint is healthy", "can't be read"):
         assert word in text
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""The duties at the platform, against a stand-in that fences, sheds, is slow, down or silent; seen at its sockets."""
+"""The duties at the platform, against a stand-in that fences, refuses, is slow, down or silent; seen at its sockets."""
 import asyncio
 import json
 
@@ -75,7 +75,7 @@
 
 
 class Days:
-    """A fleet with duties, a platform, and jobs that begin at a steady pace at every proxy."""
+    """A fleet with duties, a platform, and requests that begin at a steady pace at every proxy."""
 
     def __init__(self, seed=1, proxies=3, every_ms=200):
         self.fleet = Fleet(seed, proxies, DUTIES)
@@ -83,17 +83,17 @@
         self.platform = Platform(self.world)
         self.truth, self.every_ms, self.busy = {}, every_ms, True
         assert self.world.until(lambda: self.holder() is not None and self.fleet.formed(12 + proxies), 20000)
-        assert self.world.until(lambda: all(proxy.relay.counts.offset_ms for proxy in self.fleet.proxies.values()), 9000)
-        self.world.later(0, self.jobs)
+        assert self.world.until(lambda: all(proxy.forwarder.counts.offset_ms for proxy in self.fleet.proxies.values()), 9000)
+        self.world.later(0, self.requests)
 
-    def jobs(self):
-        """Every proxy that runs begins one job for each of two tenants."""
+    def requests(self):
+        """Every proxy that runs begins one request for each of two tenants."""
         if self.busy:
-            self.world.later(self.every_ms, self.jobs)
+            self.world.later(self.every_ms, self.requests)
         for proxy in self.fleet.proxies.values():
             if proxy.context.alive:
                 for tenant in ("co-op", "trust"):
-                    proxy.relay.counts.began(tenant, self.world.env.now)
+                    proxy.forwarder.counts.began(tenant, self.world.env.now)
                     window = int((1.7e12 + self.world.env.now) // 5000)
                     counts = self.truth.setdefault(window, {})
                     counts[tenant] = counts.get(tenant, 0) + 1
@@ -367,5 +367,5 @@
     fleet = Fleet(1, 2)
     fleet.world.run(5000)
     assert all(registry.duties is None and registry.desk.ledger is None for registry in fleet.registries.values())
-    assert all(proxy.relay.counts is None for proxy in fleet.proxies.values())
+    assert all(proxy.forwarder.counts is None for proxy in fleet.proxies.values())
     assert not [name for name in fleet.world.disks if name.startswith("duties")]
--- a/tests/test_relaying.py
+++ b/tests/test_forwarding.py
@@ -2,7 +2,7 @@
 import pytest
 
 from approval import approve
-from standins import Scene, good, job, route
+from standins import Scene, good, request, route
 from stagevale.registrations import DRAINING
 
 
@@ -13,7 +13,7 @@
     return rule
 
 
-def test_a_job_goes_through_unchanged():
+def test_a_request_goes_through_unchanged():
     scene = Scene()
     seen = []
 
@@ -21,7 +21,7 @@
         seen.append((endpoint.heads[-1], sorted(name.decode() for name in fields), body))
         return good(endpoint, fields, body)
     scene.endpoint(rule)
-    client = scene.client(job("/e/y?q=1", "77", "POST", b"crate", more=b"X-Own: kept\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"))
+    client = scene.client(request("/e/y?q=1", "77", "POST", b"crate", more=b"X-Own: kept\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"))
     scene.world.run(500)
     approve("through", [repr(seen[0])] + client.got.decode().split("\r\n"))
 
@@ -40,14 +40,14 @@
     assert bodies == [b"abcde"] and client.statuses() == ["200"]
 
 
-def test_pipelined_jobs_are_answered_in_order():
+def test_pipelined_requests_are_answered_in_order():
     scene = Scene()
 
     def rule(endpoint, fields, body):
         return good(endpoint, fields, body, b"for " + fields[b"attempt-id"]), \
             100 if fields[b"attempt-id"] == b"1" else 10
     scene.endpoint(rule)
-    client = scene.client(job(id="1") + job(id="2") + job(id="3"))
+    client = scene.client(request(id="1") + request(id="2") + request(id="3"))
     scene.world.run(60)
     assert client.got == b""
     scene.world.run(400)
@@ -55,52 +55,52 @@
     assert bodies == [b"for 1", b"for 2", b"for 3"]
 
 
-def test_effectful_job_waits_behind_a_pipelined_one():
-    """Behind an answer that closes the stream clients send again whatever the kind: it must not have run."""
+def test_effectful_request_waits_behind_a_pipelined_one():
+    """Behind an answer that closes the connection clients send again whatever the kind: it must not have run."""
     scene = Scene()
     first = scene.endpoint(lambda endpoint, fields, body: (good(endpoint, fields, body), 600))
-    scene.client(job("/p/x", "1") + job("/e/x", "2", "POST", b"b"))
+    scene.client(request("/p/x", "1") + request("/e/x", "2", "POST", b"b"))
     scene.world.run(300)
     assert len(first.heads) == 1
     scene.world.run(3000)
     assert [head.split()[0] for head in first.heads] == ["GET", "POST"]
 
 
-def test_stream_closed_halfway_ends_repeatable_jobs():
+def test_connection_closed_halfway_ends_repeatable_requests():
     scene = Scene()
     scene.endpoint(lambda endpoint, fields, body: None)
-    client = scene.client(job(id="1") + job(id="2"))
+    client = scene.client(request(id="1") + request(id="2"))
     scene.world.run(100)
-    assert scene.proxy.relay.running == 2
+    assert scene.proxy.forwarder.running == 2
     client.transport.abort()
     scene.world.run(100)
-    assert scene.proxy.relay.running == 0
+    assert scene.proxy.forwarder.running == 0
     assert all(target.outstanding == 0 for target in scene.proxy.targets.values())
 
 
-def test_effectful_job_never_goes_out_twice_after_a_reset():
+def test_effectful_request_never_goes_out_twice_after_a_reset():
     scene = Scene()
     one = scene.endpoint(lambda endpoint, fields, body: b"RESET")
     two = scene.endpoint(lambda endpoint, fields, body: b"RESET")
-    client = scene.client(job("/e/x", "9", "POST", b"b"))
+    client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(2500)
     assert len(one.heads) + len(two.heads) == 1
     assert client.statuses() == ["502"]
 
 
-def test_repeatable_job_goes_to_a_second_endpoint_after_a_reset():
+def test_repeatable_request_goes_to_a_second_endpoint_after_a_reset():
     scene = Scene()
     scene.world.run(9000)
     for _ in range(2):
         scene.endpoint(lambda endpoint, fields, body: b"RESET" if not scene.resets.append(1) and len(scene.resets) == 1
                        else good(endpoint, fields, body))
     scene.resets = []
-    client = scene.client(job(id="9"))
+    client = scene.client(request(id="9"))
     scene.world.run(1000)
     assert client.statuses() == ["200"] and len(scene.resets) == 2
 
 
-def test_effectful_job_goes_on_after_proof_that_it_did_not_run():
+def test_effectful_request_goes_on_after_proof_that_it_did_not_run():
     scene = Scene()
     scene.world.run(9000)
     turned = []
@@ -111,7 +111,7 @@
             return answers_with(503, b"Not-Run: 1\r\n", with_id=False)(endpoint, fields, body)
         return good(endpoint, fields, body)
     endpoints = [scene.endpoint(rule), scene.endpoint(rule)]
-    client = scene.client(job("/e/x", "9", "POST", b"b"))
+    client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(1500)
     assert client.statuses() == ["200"]
     assert sum(len(endpoint.ran) for endpoint in endpoints) == 1
@@ -121,7 +121,7 @@
     """A 503 without Not-Run may have run: the client must not be promised that it hasn't."""
     scene = Scene()
     scene.endpoint(answers_with(503))
-    client = scene.client(job("/e/x", "9", "POST", b"b"))
+    client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(1500)
     assert client.statuses() == ["502"]
 
@@ -130,11 +130,11 @@
     scene = Scene()
     scene.world.run(9000)
     other = scene.endpoint(answers_with(421, b"Instance: i-other\r\n", with_id=False))
-    client = scene.client(job("/e/x", "9", "POST", b"b"))
+    client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(1000)
     assert client.statuses() == ["503"] and b"Retry-After" in client.got
     assert scene.proxy.targets[other.id].gone
-    scene.client(job("/e/x", "10", "POST", b"b"))
+    scene.client(request("/e/x", "10", "POST", b"b"))
     scene.world.run(1000)
     assert len(other.heads) == 1
 
@@ -148,21 +148,21 @@
             return stray + good(endpoint, fields, body, b"mine")
         return good(endpoint, fields, body)
     scene.endpoint(rule)
-    client = scene.client(job("/e/x", "1", "POST", b"b"))
+    client = scene.client(request("/e/x", "1", "POST", b"b"))
     scene.world.run(200)
-    client.transport.write(job("/e/x", "2", "POST", b"b"))
+    client.transport.write(request("/e/x", "2", "POST", b"b"))
     scene.world.run(500)
     assert b"mine" in client.got and b"stray" not in client.got
 
 
-def test_surplus_behind_an_answer_ends_the_endpoints_stream():
+def test_surplus_behind_an_answer_ends_the_endpoints_connection():
     scene = Scene()
     endpoint = scene.endpoint(lambda endpoint, fields, body: good(endpoint, fields, body) + b"HTTP/1.1 200 OK\r\n\r\n")
-    client = scene.client(job(id="1"))
+    client = scene.client(request(id="1"))
     scene.world.run(300)
-    client.transport.write(job(id="2"))
+    client.transport.write(request(id="2"))
     scene.world.run(300)
-    assert client.statuses() == ["200", "200"] and len(endpoint.streams) == 2
+    assert client.statuses() == ["200", "200"] and len(endpoint.connections) == 2
 
 
 def broken_answers():
@@ -181,9 +181,9 @@
 def test_what_is_no_answer_of_the_endpoint_never_reaches_a_client_as_success(name):
     scene = Scene()
     endpoint = scene.endpoint(broken_answers()[name])
-    client = scene.client(job("/e/x", "1", "POST", b"b"))
+    client = scene.client(request("/e/x", "1", "POST", b"b"))
     scene.world.run(200)
-    for transport in endpoint.streams:
+    for transport in endpoint.connections:
         transport.close()
     scene.world.run(2500)
     assert client.statuses() and client.statuses()[0] in ("502", "504")
@@ -194,14 +194,14 @@
     for name, data in (
             ("malformed head", b"NONSENSE\r\n\r\n"),
             ("head over the limit", b"GET /p/x HTTP/1.1\r\nHost: h.example\r\nX: " + b"a" * 3000 + b"\r\n\r\n"),
-            ("body over the limit", job("/e/x", method="POST", body=b"b" * 6000)),
+            ("body over the limit", request("/e/x", method="POST", body=b"b" * 6000)),
             ("two lengths for one body", b"POST /e/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 1\r\nContent-Length: 4\r\n"
              b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /p/smuggled HTTP/1.1\r\n\r\n"),
             ("two content lengths", b"POST /e/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde"),
             ("no host", b"GET /p/x HTTP/1.1\r\nAttempt-Id: 1\r\n\r\n"),
             ("no id", b"GET /p/x HTTP/1.1\r\nHost: h.example\r\n\r\n"),
-            ("no route", job("/none")), ("other host", job(host="o.example")),
-            ("absolute target", job("http://h.example/p/x")),
+            ("no route", request("/none")), ("other host", request(host="o.example")),
+            ("absolute target", request("http://h.example/p/x")),
             ("bare newline in a field", b"GET /p/x HTTP/1.1\r\nHost: h.example\r\nA: b\nC: d\r\n\r\n"),
             ("slow head", b"GET /p/x HTTP/1.1\r\nHost:")):
         scene = Scene()
@@ -214,23 +214,23 @@
 
 def test_drained_and_evacuated_endpoints_get_nothing_new():
     scene = Scene()
-    one, two = scene.endpoint(), scene.endpoint(area="a2")
+    one, two = scene.endpoint(), scene.endpoint(zone="a2")
     scene.tell(one.life(DRAINING, seq=2))
     scene.tell(one.life(seq=1))
     for number in range(5):
-        scene.client(job(id=str(number)))
+        scene.client(request(id=str(number)))
     scene.world.run(300)
     assert len(one.heads) == 0 and len(two.heads) == 5
-    scene.digest(scene.value.after(evacuated=("a2",)))
-    client = scene.client(job(id="9"))
+    scene.snapshot(scene.value.after(evacuated=("a2",)))
+    client = scene.client(request(id="9"))
     scene.world.run(1000)
     assert client.statuses() == ["503"] and len(two.heads) == 5
 
 
 def test_homes_bind_the_choice():
     scene = Scene(routes=[route("pure", "/p/", homeRegions=["b"])])
-    near, far = scene.endpoint(), scene.endpoint(area="b1")
-    client = scene.client(job())
+    near, far = scene.endpoint(), scene.endpoint(zone="b1")
+    client = scene.client(request())
     scene.world.run(1000)
     assert client.statuses() == ["200"] and (len(near.heads), len(far.heads)) == (0, 1)
 
@@ -240,7 +240,7 @@
     cold = scene.endpoint()
     scene.tell(cold.life(cold_ms=3000, seq=2))
     for number in range(30):
-        scene.client(job(id=str(number)))
+        scene.client(request(id=str(number)))
         scene.world.run(30)
     assert 1 <= len(cold.heads) <= 6 * 1.5 + 5
 
@@ -250,16 +250,16 @@
     endpoints = [scene.endpoint(answers_with(503, b"Not-Run: 1\r\n")) for _ in range(3)]
     scene.world.run(10000)
     for number in range(200):
-        scene.client(job(id=str(number)))
+        scene.client(request(id=str(number)))
         scene.world.run(20)
     arrivals = sum(len(endpoint.heads) for endpoint in endpoints)
     assert arrivals <= 200 + 0.2 * 200 + 60
 
 
-def test_silent_endpoint_is_waited_for_until_the_cutoff():
+def test_silent_endpoint_is_waited_for_until_the_deadline():
     scene = Scene()
     scene.endpoint(lambda endpoint, fields, body: None)
-    client = scene.client(job("/e/x", "1", "POST", b"b"))
+    client = scene.client(request("/e/x", "1", "POST", b"b"))
     scene.world.run(1400)
     assert client.got == b""
     scene.world.run(400)
@@ -269,7 +269,7 @@
 def test_sigterm_finishes_what_is_under_way():
     scene = Scene()
     scene.endpoint(lambda endpoint, fields, body: (good(endpoint, fields, body), 1000))
-    client = scene.client(job("/e/x", "1", "POST", b"b"))
+    client = scene.client(request("/e/x", "1", "POST", b"b"))
     scene.world.run(100)
     scene.context.stopping = scene.proxy.ending = True
     scene.proxy.end()
@@ -279,7 +279,7 @@
     assert scene.context.stopped
 
 
-def test_repeatable_job_at_a_silent_endpoint_goes_to_a_second_one_beside_it():
+def test_repeatable_request_at_a_silent_endpoint_goes_to_a_second_one_beside_it():
     scene = Scene()
     scene.world.run(9000)
     silent = []
@@ -290,7 +290,7 @@
             return good(endpoint, fields, body, b"late"), 900
         return good(endpoint, fields, body)
     endpoints = [scene.endpoint(rule), scene.endpoint(rule)]
-    client = scene.client(job(id="9"))
+    client = scene.client(request(id="9"))
     scene.world.run(800)
     assert client.statuses() == ["200"] and b"late" not in client.got
     scene.world.run(1500)
@@ -299,35 +299,35 @@
     assert all(target.outstanding == 0 and target.open == 1 for target in scene.proxy.targets.values())
 
 
-def test_effectful_job_at_a_silent_endpoint_goes_nowhere_else():
+def test_effectful_request_at_a_silent_endpoint_goes_nowhere_else():
     scene = Scene()
     scene.world.run(9000)
     endpoints = [scene.endpoint(lambda e, f, b: (good(e, f, b), 1200)), scene.endpoint(lambda e, f, b: (good(e, f, b), 1200))]
-    client = scene.client(job("/e/x", "9", "POST", b"b"))
+    client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(1400)
     assert client.statuses() == ["200"] and sum(len(endpoint.heads) for endpoint in endpoints) == 1
 
 
-def test_new_jobs_avoid_an_endpoint_that_has_fallen_silent():
+def test_new_requests_avoid_an_endpoint_that_has_fallen_silent():
     scene = Scene()
     scene.world.run(9000)
     dark = scene.endpoint(lambda endpoint, fields, body: None)
-    lit = scene.endpoint(area="a2")
+    lit = scene.endpoint(zone="a2")
     for number in range(3):
-        scene.client(job("/e/x", f"1{number}", "POST", b"b"))
+        scene.client(request("/e/x", f"1{number}", "POST", b"b"))
     scene.world.run(700)
     before = len(dark.heads)
     for number in range(6):
-        scene.client(job("/e/x", f"2{number}", "POST", b"b"))
+        scene.client(request("/e/x", f"2{number}", "POST", b"b"))
         scene.world.run(60)
     assert len(dark.heads) == before and len(lit.heads) >= 6
 
 
-def test_an_endpoint_that_takes_no_stream_costs_a_job_little_time():
+def test_an_endpoint_that_takes_no_connection_costs_a_request_little_time():
     scene = Scene()
     scene.world.run(9000)
-    dark, lit = scene.endpoint(), scene.endpoint(area="a2")
+    dark, lit = scene.endpoint(), scene.endpoint(zone="a2")
     scene.world.cut(["10.0.1.1"], [dark.ip])
-    client = scene.client(job("/e/x", "9", "POST", b"b"))
+    client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(450)
     assert client.statuses() == ["200"] and len(lit.heads) == 1
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -70,7 +70,7 @@
     states = [daemon.membership for daemon in fleet.daemons()]
     assert {state.leader() for state in states} == {"10.0.0.1:7200"}
     assert fleet.world.until(lambda: all(PARTS[0] in state.state.table for state in states), 10000)
-    lines = [f"{m.address} {m.program} {m.area}" for m in states[0].state.sorted()]
+    lines = [f"{m.address} {m.program} {m.zone}" for m in states[0].state.sorted()]
     lines += [f"{part}: {' '.join(group)}" for part, group in sorted(states[0].state.table.items())]
     approve("formed", lines)
 
@@ -113,10 +113,10 @@
     assert fleet.world.until(lambda: fleet.formed(12), 40000)
 
 
-def test_seeds_down_a_new_daemon_still_joins_through_remembered_colleagues():
+def test_seeds_down_a_new_daemon_still_joins_through_remembered_peers():
     fleet = Fleet(7)
     assert fleet.world.until(lambda: fleet.formed(12), 20000)
-    assert fleet.world.until(lambda: len(fleet.stores[5].colleagues) >= 5, 5000)
+    assert fleet.world.until(lambda: len(fleet.stores[5].peers) >= 5, 5000)
     for number in (0, 1, 2):
         fleet.kill_core(number)
     fleet.world.kill(fleet.stores[5].context)
@@ -178,8 +178,8 @@
     comer = member(99, JOINING, uid=5, generation=2)
     gone = member(99, REMOVED, uid=4, generation=1)
     mine = one.state
-    one.state = GossipState(mine.clock, {**mine.members, gone.address: gone}, mine.table_epoch, mine.table, mine.moves)
-    theirs = GossipState({**mine.clock, comer.address: 1}, {**mine.members, comer.address: comer}, mine.table_epoch,
+    one.state = GossipState(mine.clock, {**mine.members, gone.address: gone}, mine.table_version, mine.table, mine.moves)
+    theirs = GossipState({**mine.clock, comer.address: 1}, {**mine.members, comer.address: comer}, mine.table_version,
                          mine.table, mine.moves)
     sent = []
     one.transport = Counting(one.transport, sent)
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -5,12 +5,12 @@
 from hypothesis import given, settings, strategies as st
 
 from simworld import Fleet
-from standins import Endpoint, client_at, good, job
+from standins import Endpoint, client_at, good, request
 from stagevale.leases import wait_ms
 from stagevale.partners import merged_table
 from stagevale.partners.checking import read_offer
 
-AREAS = {"a1": "a", "b1": "b", "c1": "c"}
+ZONES = {"a1": "a", "b1": "b", "c1": "c"}
 CONFIG = {"version": "r1", "parentVersion": 0,
           "routes": [{"name": "own", "host": "h.example", "pathPrefix": "/own/", "variant": "pure", "timeoutMs": 2000,
                       "service": "s", "maxAttempts": 2}],
@@ -59,19 +59,19 @@
     assert all(r.reason for r in one.rows)
 
 
-@given(OFFERS, PREFIXES, st.sampled_from(sorted(AREAS)), st.sampled_from(["", "buyer", "desk", "p2"]))
+@given(OFFERS, PREFIXES, st.sampled_from(sorted(ZONES)), st.sampled_from(["", "buyer", "desk", "p2"]))
 @settings(max_examples=300, deadline=None, database=None, derandomize=True)
-def test_no_job_is_taken_on_a_withheld_path_nor_slips_to_a_wider_route(offers, prefix, area, tenant):
+def test_no_request_is_taken_on_a_withheld_path_nor_slips_to_a_wider_route(offers, prefix, zone, tenant):
     table = merged_table(CONFIG, {name: (1, written(*parts)) for name, parts in offers.items()})
-    path = prefix + "job"
-    won = table.find("h.example", path, area, AREAS[area], tenant)
+    path = prefix + "request"
+    won = table.find("h.example", path, zone, ZONES[zone], tenant)
     if won is None:
         return
     routes, restrictions = offers[won.partner]
     longest = max((entry for entry in routes if path.startswith(entry[0])), key=lambda entry: len(entry[0]))
     assert won.prefix == longest[0] and longest[2] != "gone"
     for held, whom, variant in restrictions:
-        bound = (whom.get("everybody") or AREAS[area] in whom.get("regions", ()) or area in whom.get("zones", ())
+        bound = (whom.get("everybody") or ZONES[zone] in whom.get("regions", ()) or zone in whom.get("zones", ())
                  or tenant in whom.get("tenants", ()) or tenant in whom.get("partners", ()))
         assert not (bound and path.startswith(held) and variant in (None, longest[1]))
 
@@ -107,12 +107,12 @@
     (offer(1, [row("/w/")], [{"name": "x", "withholds": {"pat": "/w/"}, "from": {"everybody": True}}]), "withholds"),
     (offer("x", [row("/w/")]), "version")])
 def test_bad_offers_name_the_field(text, field):
-    checked = read_offer("bee", text, CONFIG, {}, AREAS)
+    checked = read_offer("bee", text, CONFIG, {}, ZONES)
     assert checked.is_error() and checked.error.status == 400 and field in checked.error.reason
 
 
 class Yard:
-    """A formed fleet with the configuration in force, endpoints in every region, and jobs that flow at partner routes."""
+    """A formed fleet with the configuration in force, endpoints in every region, and requests that flow at partner routes."""
 
     def __init__(self, seed=1, proxies=3):
         self.fleet = Fleet(seed, proxies)
@@ -120,8 +120,8 @@
         assert self.world.until(lambda: len(self.fleet.owners()) == 1 and self.fleet.formed(12 + proxies), 20000)
         assert self.fleet.insist([0], "replace", json.dumps(CONFIG))[0] == 200
         self.arrivals, self.number, self.clients, self.every = [], 0, [], 40
-        for place, area in enumerate(("a1", "b1", "c1")):
-            endpoint = Endpoint(self.world, place + 1, self.run, area)
+        for place, zone in enumerate(("a1", "b1", "c1")):
+            endpoint = Endpoint(self.world, place + 1, self.run, zone)
             life = endpoint.life()
             self.fleet.registries[place].desk.take_in(life, lambda status, body: None)
             self.beat(place, endpoint, 2)
@@ -142,13 +142,13 @@
         client = client_at(self.world, ip)
         if client is None:
             return None
-        client.transport.write(job(path, f"j{self.number}", "POST", b"crate", more=more)
-                   + job(path, f"p{self.number}", "POST", b"crate", more=more))
+        client.transport.write(request(path, f"j{self.number}", "POST", b"crate", more=more)
+                   + request(path, f"p{self.number}", "POST", b"crate", more=more))
         self.clients.append(client)
         return client
 
     def flow(self, path="/w/x/go"):
-        """At-most-once jobs, two on each stream, at every proxy, without end."""
+        """At-most-once requests, two on each connection, at every proxy, without end."""
         self.world.later(self.every, self.flow, path)
         for proxy in self.fleet.proxies:
             self.send(proxy, path)
@@ -277,7 +277,7 @@
     assert yard.offer(1, [row("/w/", service="t"), row("/z/")])[0] == 200
     assert yard.offer(1, [row("/w/")], name="ant")[0] == 200
     yard.world.run(4000)
-    marks = {proxy.relay.digest.partners.mark for proxy in yard.fleet.proxies.values()}
+    marks = {proxy.forwarder.snapshot.partners.mark for proxy in yard.fleet.proxies.values()}
     marks |= {registry.desk.partners.mark for registry in yard.fleet.registries.values()}
     assert len(marks) == 1
     shown = []
@@ -290,7 +290,7 @@
     less = {**CONFIG, "version": "r2", "parentVersion": "r1", "services": CONFIG["services"][:1]}
     assert yard.fleet.insist([0], "replace", json.dumps(less))[0] == 200
     yard.world.run(2000)
-    rows = {(r.partner, r.prefix): r for r in yard.fleet.proxies[0].relay.digest.partners.rows}
+    rows = {(r.partner, r.prefix): r for r in yard.fleet.proxies[0].forwarder.snapshot.partners.rows}
     assert not rows[("bee", "/w/")].kept and "service t is not" in rows[("bee", "/w/")].reason
     assert rows[("bee", "/z/")].kept
 
@@ -311,5 +311,5 @@
     assert fleet.world.until(lambda: fleet.owners() and fleet.formed(14), 20000)
     assert fleet.insist([0], "replace", json.dumps(CONFIG))[0] == 200
     fleet.world.run(3000)
-    assert all(proxy.relay.lease.ask_number == 0 for proxy in fleet.proxies.values())
+    assert all(proxy.forwarder.lease.ask_number == 0 for proxy in fleet.proxies.values())
     assert not any(registry.desk.partners.rows for registry in fleet.registries.values())
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -3,8 +3,8 @@
 
 import pytest
 
-from standins import Scene, job
-from stagevale.balancing.policies import PROBLEMS_BORNE, Policy, PolicyProblem, load_policy
+from standins import Scene, request
+from stagevale.balancing.policies import FAILURES_BORNE, Policy, PolicyFailure, load_policy
 
 
 class Quiet:
@@ -17,13 +17,13 @@
 
 def test_a_policy_steers_among_allowed_endpoints_only():
     scene = Scene()
-    near, far = scene.endpoint(), scene.endpoint(area="b1")
-    out = scene.endpoint(area="a2")
-    scene.digest(scene.value.after(evacuated=("a2",)))
-    scene.proxy.relay.chooser.policy = Policy(
-        'return function(job, e) return e.area == "b1" and 1 or e.area == "a2" and 0 or 1000 end', Quiet())
+    near, far = scene.endpoint(), scene.endpoint(zone="b1")
+    out = scene.endpoint(zone="a2")
+    scene.snapshot(scene.value.after(evacuated=("a2",)))
+    scene.proxy.forwarder.chooser.policy = Policy(
+        'return function(request, e) return e.zone == "b1" and 1 or e.zone == "a2" and 0 or 1000 end', Quiet())
     for number in range(4):
-        scene.client(job(id=str(number)))
+        scene.client(request(id=str(number)))
     scene.world.run(1000)
     assert [len(endpoint.heads) for endpoint in (near, far, out)] == [0, 4, 0]
 
@@ -36,16 +36,16 @@
 def test_a_policy_that_fails_leaves_the_built_in_choice(body):
     scene = Scene()
     near = scene.endpoint()
-    scene.endpoint(area="b1")
+    scene.endpoint(zone="b1")
     log = Quiet()
-    scene.proxy.relay.chooser.policy = Policy(f"return function(job, e) {body} end", log)
-    client = scene.client(job())
+    scene.proxy.forwarder.chooser.policy = Policy(f"return function(request, e) {body} end", log)
+    client = scene.client(request())
     scene.world.run(1000)
     assert client.statuses() == ["200"] and len(near.heads) == 1 and log.lines
-    for number in range(PROBLEMS_BORNE):
-        scene.client(job(id=f"1{number}"))
+    for number in range(FAILURES_BORNE):
+        scene.client(request(id=f"1{number}"))
         scene.world.run(100)
-    assert len(log.lines) == PROBLEMS_BORNE and "left out" in log.lines[-1]
+    assert len(log.lines) == FAILURES_BORNE and "left out" in log.lines[-1]
 
 
 @pytest.mark.parametrize("source, word", [("syntax(", "unexpected"), ("return 5", "must return a function"), ("", "must"),
@@ -53,7 +53,7 @@
 def test_a_policy_that_can_not_be_loaded_says_why(source, word, tmp_path):
     path = tmp_path / "policy.lua"
     path.write_text(source)
-    with pytest.raises(PolicyProblem, match=word) as caught:
+    with pytest.raises(PolicyFailure, match=word) as caught:
         load_policy(str(path), Quiet())
     assert str(path) in str(caught.value)
 
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -6,12 +6,12 @@
 from simworld import Fleet
 from stagevale.configuration.checking import fingerprint, read_config
 from stagevale.registrations import DRAINING, GONE, READY, Life, Lives
-from stagevale.registrations.calls import Problem, read_beat
+from stagevale.registrations.calls import Failure, read_beat
 from test_register import config
 
 
-def beat_of(id, state="ready", seq=1, cold=0, service="s", area="a1"):
-    return {"address": "10.9.0.1:80", "details": {"service": service, "zone": area, "slots": 3, "version": "v1"},
+def beat_of(id, state="ready", seq=1, cold=0, service="s", zone="a1"):
+    return {"address": "10.9.0.1:80", "details": {"service": service, "zone": zone, "slots": 3, "version": "v1"},
             "status": {"state": state, "callSeq": seq, "coldLeftMs": cold}}
 
 
@@ -19,7 +19,7 @@
     fleet = Fleet(seed, proxies)
     assert fleet.world.until(lambda: len(fleet.owners()) == 1 and fleet.formed(12 + proxies), 25000)
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
-    assert fleet.world.until(lambda: all(p.relay.digest.hosts for p in fleet.proxies.values()), 5000)
+    assert fleet.world.until(lambda: all(p.forwarder.snapshot.hosts for p in fleet.proxies.values()), 5000)
     return fleet
 
 
@@ -75,7 +75,7 @@
     assert fleet.world.until(lambda: all(p.feeder not in (None, "10.0.0.5:7200") and p.subscribed for p in fed), 5000)
 
 
-def test_unheard_endpoint_becomes_unsound_and_sound_again_with_its_next_beat():
+def test_unheard_endpoint_becomes_unhealthy_and_healthy_again_with_its_next_beat():
     fleet = formed()
     seq = 1
     for _ in range(8):
@@ -83,14 +83,14 @@
         tell(fleet, 3, lambda desk, answer: desk.beat("i-2", beat_of("i-2", seq=seq), answer))
         fleet.world.run(1500)
         seq += 1
-    assert all(t.sound for t in known(fleet, "i-1") + known(fleet, "i-2"))
+    assert all(t.healthy for t in known(fleet, "i-1") + known(fleet, "i-2"))
     for _ in range(6):
         tell(fleet, 3, lambda desk, answer: desk.beat("i-2", beat_of("i-2", seq=seq), answer))
         fleet.world.run(1500)
         seq += 1
-    assert not any(t.sound for t in known(fleet, "i-1")) and all(t.sound for t in known(fleet, "i-2"))
+    assert not any(t.healthy for t in known(fleet, "i-1")) and all(t.healthy for t in known(fleet, "i-2"))
     tell(fleet, 5, lambda desk, answer: desk.beat("i-1", beat_of("i-1", seq=seq, cold=2500), answer))
-    assert fleet.world.until(lambda: all(t.sound and t.cold_until_ms > fleet.world.env.now
+    assert fleet.world.until(lambda: all(t.healthy and t.cold_until_ms > fleet.world.env.now
                                          for t in known(fleet, "i-1")), 2500)
 
 
@@ -125,9 +125,9 @@
     fleet.world.run(800)
     for number in range(6):
         fleet.start_core(number, False)
-    assert all(proxy.targets and proxy.relay.digest.hosts for proxy in fleet.proxies.values())
+    assert all(proxy.targets and proxy.forwarder.snapshot.hosts for proxy in fleet.proxies.values())
     assert fleet.insist([0, 1], "replace", config(2, 1))[0] == 200
-    assert fleet.world.until(lambda: all(p.relay.digest.serial >= 2 and p.subscribed
+    assert fleet.world.until(lambda: all(p.forwarder.snapshot.serial >= 2 and p.subscribed
                                          for p in fleet.proxies.values()), 8000)
     assert fleet.world.until(lambda: tell(fleet, 2, lambda desk, answer: desk.beat("i-1", beat_of("i-1", seq=9), answer))
                              == 200, 8000)
@@ -149,10 +149,10 @@
     assert fleet.world.until(lambda: all(p.ready() and len(p.targets) == 6 for p in fleet.proxies.values()), 2500)
     assert all(t.state == DRAINING for t in known(fleet, "i-5"))
     fleet.world.run(9000)
-    assert not any(t.sound for t in known(fleet, "i-1"))
+    assert not any(t.healthy for t in known(fleet, "i-1"))
 
 
-def test_directory_names_ready_fronts_of_the_area_and_drops_a_killed_proxy():
+def test_directory_names_ready_fronts_of_the_zone_and_drops_a_killed_proxy():
     fleet = formed()
     tell(fleet, 0, lambda desk, answer: desk.beat("i-1", beat_of("i-1"), answer))
     desk = fleet.registries[3].desk
@@ -166,13 +166,13 @@
     fleet.world.kill(fleet.proxies[2].context)
     assert fleet.insist([0], "replace", config(2, 1))[0] == 200
     fleet.start_proxy(2)
-    assert fleet.world.until(lambda: fleet.proxies[2].relay.digest.hosts, 5000)
-    assert fleet.proxies[2].relay.digest.serial == fleet.stores[fleet.owners()[0] - 1].chosen.serial
+    assert fleet.world.until(lambda: fleet.proxies[2].forwarder.snapshot.hosts, 5000)
+    assert fleet.proxies[2].forwarder.snapshot.serial == fleet.stores[fleet.owners()[0] - 1].chosen.serial
 
 
 def test_lives_merge_in_any_order_to_the_same():
-    def at(state, seq, unsound_at=0, cold_seq=0):
-        return Life("i", "s", "10.0.0.1:1", "a1", 3, state, seq, unsound_at, cold_seq, 0)
+    def at(state, seq, unhealthy_at=0, cold_seq=0):
+        return Life("i", "s", "10.0.0.1:1", "a1", 3, state, seq, unhealthy_at, cold_seq, 0)
     news = [at(READY, 1), at(DRAINING, 3), at(READY, 2, 2), at(READY, 5, cold_seq=5), at(READY, 4)]
     ends = set()
     for turn in range(5):
@@ -192,8 +192,8 @@
                                   json.dumps({**beat_of("i"), "address": "10.0.0.999:5"}).encode(),
                                   json.dumps(beat_of("i", seq="7")).encode(), json.dumps(beat_of("i", seq=True)).encode(),
                                   json.dumps(beat_of("i", service="")).encode(), b"[" * 100000])
-def test_bad_beats_are_problems(body):
-    with pytest.raises(Problem):
+def test_bad_beats_are_failures(body):
+    with pytest.raises(Failure):
         read_beat(body)
 
 
--- a/tests/test_rehearsing.py
+++ b/tests/test_rehearsing.py
@@ -3,9 +3,9 @@
 
 import pytest
 
-from simworld import AREAS, Fleet, SimTransport
-from standins import Client, Endpoint, good, job, route
-from stagevale.rehearsing import Plan, RehearsalProblem, rehearse, report, shifted
+from simworld import ZONES, Fleet, SimTransport
+from standins import Client, Endpoint, good, request, route
+from stagevale.rehearsing import Plan, RehearsalFailure, rehearse, report, shifted
 from stagevale.settings import Bounds
 
 ROUTES = [route("pure", "/p/"), route("effectful", "/e/"), route("pure", "/h/", homeRegions=["a", "b"])]
@@ -14,7 +14,7 @@
 
 
 class Town:
-    """A fleet with endpoints that beat and clients that come at a steady rate from every area."""
+    """A fleet with endpoints that beat and clients that come at a steady rate from every zone."""
 
     def __init__(self, seed):
         self.fleet = Fleet(seed, proxies=6)
@@ -22,7 +22,7 @@
         assert self.world.until(lambda: len(self.fleet.owners()) == 1 and self.fleet.formed(18), 25000)
         assert self.fleet.insist([0], "replace", json.dumps(CONFIG))[0] == 200
         self.ran, self.clients, self.sent, self.dead = [], [], 0, set()
-        self.endpoints = [Endpoint(self.world, number + 1, self.rule, AREAS[number % 6]) for number in range(12)]
+        self.endpoints = [Endpoint(self.world, number + 1, self.rule, ZONES[number % 6]) for number in range(12)]
         self.seq = 0
         self.beat()
         assert self.world.until(lambda: all(proxy.ready() and len(proxy.targets) == 12
@@ -32,35 +32,35 @@
 
     def rule(self, endpoint, fields, body):
         head = endpoint.heads[-1]
-        self.ran.append((self.world.env.now, endpoint.area[0], head.split()[1][1], fields[b"attempt-id"].decode()))
+        self.ran.append((self.world.env.now, endpoint.zone[0], head.split()[1][1], fields[b"attempt-id"].decode()))
         return good(endpoint, fields, body), 60 + self.world.random.random() * 80
 
     def beat(self):
         self.seq += 1
         for endpoint in self.endpoints:
-            if endpoint.area[0] in self.dead:
+            if endpoint.zone[0] in self.dead:
                 continue
             number = next(n for n, registry in self.fleet.registries.items()
-                          if registry.context.alive and AREAS[n][0] not in self.dead)
-            beat = {"address": f"{endpoint.ip}:80", "details": {"service": "s", "zone": endpoint.area, "slots": 3},
+                          if registry.context.alive and ZONES[n][0] not in self.dead)
+            beat = {"address": f"{endpoint.ip}:80", "details": {"service": "s", "zone": endpoint.zone, "slots": 3},
                     "status": {"state": "ready", "callSeq": self.seq, "coldLeftMs": 0}}
             self.fleet.registries[number].desk.beat(endpoint.id, beat, lambda status, body: None)
         self.world.later(1500, self.beat)
 
     def come(self):
         self.sent += 1
-        area = AREAS[self.sent % 6]
+        zone = ZONES[self.sent % 6]
         kind, method = ("p", "GET") if self.sent % 5 else ("h", "GET")
         if self.sent % 3 == 0:
             kind, method = "e", "POST"
         desk = next(registry.desk for number, registry in self.fleet.registries.items()
-                    if registry.context.alive and AREAS[number][0] not in self.dead)
-        fronts = [tuple(front.split(":")) for front in desk.resolve(area, area[0])]
+                    if registry.context.alive and ZONES[number][0] not in self.dead)
+        fronts = [tuple(front.split(":")) for front in desk.resolve(zone, zone[0])]
         if fronts:
             ip, port = fronts[self.sent % len(fronts)]
             found = self.world.listeners.get((ip, int(port)))
             if found:
-                self.open(ip, found, job(f"/{kind}/x", str(self.sent), method, b"b" if method == "POST" else b""))
+                self.open(ip, found, request(f"/{kind}/x", str(self.sent), method, b"b" if method == "POST" else b""))
         self.world.later(20, self.come)
 
     def open(self, ip, found, data):
@@ -79,14 +79,14 @@
 
     def lose(self, region):
         self.dead.add(region)
-        for number, area in enumerate(AREAS):
-            if area[0] == region:
+        for number, zone in enumerate(ZONES):
+            if zone[0] == region:
                 self.fleet.kill_core(number)
                 self.world.kill(self.fleet.proxies[number].context)
         for endpoint in self.endpoints:
-            if endpoint.area[0] == region:
+            if endpoint.zone[0] == region:
                 self.world.listeners.pop((endpoint.ip, 80), None)
-                for transport in endpoint.streams:
+                for transport in endpoint.connections:
                     transport.abort()
 
     def shares(self, path, since_ms):
@@ -124,15 +124,15 @@
 
 
 def stand(**more):
-    return {"areas": {"a1": "a", "b1": "b"}, "evacuated": [],
-            "endpoints": [{"id": f"i-{n}", "service": "s", "address": f"10.9.0.{n}:80", "area": area, "slots": 3,
-                           "state": "ready", "sound": True, "coldLeftMs": 0}
-                          for n, area in enumerate(("a1", "b1"))],
-            "proxies": [{"address": f"10.0.1.{n}:7200", "front": f"10.0.1.{n}:9000", "area": area, "region": area[0],
-                         "ready": True, "report": [4000, [["r-pure/p/", "s", True, 100, 500, {area: 80}],
-                                                          ["r-effectful/e/", "s", False, 100, 500, {area: 40}]],
+    return {"zones": {"a1": "a", "b1": "b"}, "evacuated": [],
+            "endpoints": [{"id": f"i-{n}", "service": "s", "address": f"10.9.0.{n}:80", "zone": zone, "slots": 3,
+                           "state": "ready", "healthy": True, "coldLeftMs": 0}
+                          for n, zone in enumerate(("a1", "b1"))],
+            "proxies": [{"address": f"10.0.1.{n}:7200", "front": f"10.0.1.{n}:9000", "zone": zone, "region": zone[0],
+                         "ready": True, "report": [4000, [["r-pure/p/", "s", True, 100, 500, {zone: 80}],
+                                                          ["r-effectful/e/", "s", False, 100, 500, {zone: 40}]],
                                                    [], [["a", 60.0], ["b", 60.0]]]}
-                        for n, area in enumerate(("a1", "b1"))], **more}
+                        for n, zone in enumerate(("a1", "b1"))], **more}
 
 
 def test_lost_fronts_clients_go_where_the_directory_would_send_them():
@@ -141,18 +141,18 @@
     assert list(moved) == ["10.0.1.1:7200"]
     assert sum(flow.per_s for flow in moved["10.0.1.1:7200"]) == pytest.approx(60.0)
     calm = rehearse(plan, "", 10, 3)
-    assert calm["r-pure/p/"].areas.keys() == {"a1", "b1"} and calm["r-pure/p/"].in_aim > 100
-    assert rehearse(plan, "a", 10, 3)["r-pure/p/"].areas.keys() == {"b1"}
+    assert calm["r-pure/p/"].zones.keys() == {"a1", "b1"} and calm["r-pure/p/"].in_aim > 100
+    assert rehearse(plan, "a", 10, 3)["r-pure/p/"].zones.keys() == {"b1"}
 
 
-def test_too_little_left_is_shown_as_shed_or_late():
+def test_too_little_left_is_shown_as_refuse_or_late():
     busy = stand()
     for row in busy["proxies"]:
-        row["report"][1][0][5] = {row["area"]: 200}
+        row["report"][1][0][5] = {row["zone"]: 200}
     plan = Plan([busy], CONFIG, Bounds({}))
     lost = report(plan, "a", 10, 1)
     row = next(row for row in lost["routes"] if row["route"] == "r-pure/p/")
-    assert row["lost"]["inAim"] < row["calm"]["inAim"] and row["lost"]["shed"] + row["lost"]["late"] > 0.2
+    assert row["lost"]["inAim"] < row["calm"]["inAim"] and row["lost"]["refuse"] + row["lost"]["late"] > 0.2
 
 
 def test_the_same_seed_gives_the_same_table():
@@ -162,14 +162,14 @@
 
 
 def test_nothing_to_rehearse_is_said():
-    with pytest.raises(RehearsalProblem, match="no region x"):
+    with pytest.raises(RehearsalFailure, match="no region x"):
         report(Plan([stand()], CONFIG, Bounds({})), "x", 5, 1)
-    with pytest.raises(RehearsalProblem, match="reported"):
+    with pytest.raises(RehearsalFailure, match="reported"):
         empty = stand()
         for row in empty["proxies"]:
             row["report"] = []
         Plan([empty], CONFIG, Bounds({}))
-    with pytest.raises(RehearsalProblem, match="no front is left"):
+    with pytest.raises(RehearsalFailure, match="no front is left"):
         alone = stand()
         alone["proxies"] = alone["proxies"][:1]
         report(Plan([alone], CONFIG, Bounds({})), "a", 5, 1)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings, strategies as st
 
 from simworld import Fleet
-from standins import Endpoint, client_at, good, job
+from standins import Endpoint, client_at, good, request
 from stagevale.configuration import Keeper
 from stagevale.configuration.orders import MOVE_ROLLOUT, START_ROLLOUT, decide
 from stagevale.configuration.value import Value, read_value
@@ -179,7 +179,7 @@
                 id = f"{'p' if path == '/p/x' else 'e'}{self.number}"
                 client = client_at(self.world, f"10.0.1.{proxy + 1}")
                 if client is not None:
-                    client.transport.write(job(path, id, method, body))
+                    client.transport.write(request(path, id, method, body))
                     self.sent.append((self.world.env.now, proxy, id, client))
 
     def rows(self):
@@ -351,7 +351,7 @@
 def test_unused_rollouts_cost_nothing():
     yard = Yard(seed=6)
     yard.world.run(3000)
-    assert all(proxy.relay.lease.ask_number == 0 and proxy.relay.outcomes is None for proxy in yard.fleet.proxies.values())
+    assert all(proxy.forwarder.lease.ask_number == 0 and proxy.forwarder.outcomes is None for proxy in yard.fleet.proxies.values())
     assert all(keeper.judge is None for keeper in yard.fleet.stores.values())
 
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -3,7 +3,7 @@
 import random
 
 from simworld import Fleet
-from standins import Endpoint, Scene, client_at, good, job, route
+from standins import Endpoint, Scene, client_at, good, request, route
 from stagevale.commands import app
 from stagevale.doctoring import stand_faults
 from stagevale.settings import Bounds
@@ -22,12 +22,12 @@
         self.sent, self.number, self.gap_ms, self.runs = [], 0, gap_ms, []
         for zone in ("a1", "b1") * each:
             self.scene.endpoint(self.answer, zone)
-        self.steering = self.scene.proxy.relay.chooser.steering
+        self.steering = self.scene.proxy.forwarder.chooser.steering
         self.shares = []
         self.flow()
 
     def answer(self, endpoint, fields, body):
-        region = endpoint.area[0]
+        region = endpoint.zone[0]
         self.runs.append((self.world.env.now, region, fields[b"attempt-id"].decode()))
         if self.delay[region] is None:
             return None
@@ -39,7 +39,7 @@
         for path, method, body in (("/p/x", "GET", b""), ("/e/x", "POST", b"crate")):
             self.number += 1
             id = f"{path[1]}{self.number}"
-            self.sent.append((id, self.scene.client(job(path, id, method, body))))
+            self.sent.append((id, self.scene.client(request(path, id, method, body))))
 
     def share(self, since_ms, region="b"):
         runs = [run for run in self.runs if run[0] > since_ms]
@@ -175,7 +175,7 @@
     fleet.registries[0].desk.take_in(endpoint.life(), lambda status, body: None)
     assert world.until(lambda: all(proxy.targets for proxy in fleet.proxies.values()), 6000)
     for number in range(120):
-        client_at(world, "10.0.1.1").transport.write(job("/p/x", f"x{number}"))
+        client_at(world, "10.0.1.1").transport.write(request("/p/x", f"x{number}"))
         world.run(50)
     world.run(6000)
     stands = [registry.desk.stand() for registry in fleet.registries.values()]
@@ -194,4 +194,4 @@
 
 def test_without_the_setting_nothing_is_kept():
     scene = Scene()
-    assert scene.proxy.relay.chooser.steering is None
+    assert scene.proxy.forwarder.chooser.steering is None
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,10 +1,10 @@
-"""Keys of tenants on the way of a job, and what a configuration may say of tenants."""
+"""Keys of tenants on the way of a request, and what a configuration may say of tenants."""
 import json
 
 import pytest
 
 from simworld import Fleet
-from standins import Scene, good, job, route
+from standins import Scene, good, request, route
 from stagevale.configuration.checking import read_config
 from stagevale.registrations import DRAINING
 
@@ -30,7 +30,7 @@
 
 def test_key_is_withheld_and_tenant_is_set_whatever_the_client_sent():
     day = scene()
-    client = day.client(job(more=bearing(b"key-two", b"Tenant: trust\r\nTENANT: co-op\r\n")))
+    client = day.client(request(more=bearing(b"key-two", b"Tenant: trust\r\nTENANT: co-op\r\n")))
     day.world.run(300)
     assert client.statuses() == ["200"]
     fields = day.seen[0]
@@ -42,7 +42,7 @@
     day = scene()
     heads = []
     day.endpoints[0].rule = lambda endpoint, fields, body: heads.append(fields) or good(endpoint, fields, body)
-    day.client(job("/open/x", more=b"Tenant: trust\r\n"))
+    day.client(request("/open/x", more=b"Tenant: trust\r\n"))
     day.world.run(300)
     assert heads and b"tenant" not in heads[0]
 
@@ -51,15 +51,15 @@
                                   bearing(b"key-one") + bearing(b"key-two"), bearing(b"KEY-ONE"), b"Tenant: co-op\r\n"])
 def test_no_known_key_is_a_401_and_nothing_runs(head):
     day = scene()
-    client = day.client(job(more=head) + job("/e/x", "2", "POST", b"crate", more=head))
+    client = day.client(request(more=head) + request("/e/x", "2", "POST", b"crate", more=head))
     day.world.run(300)
     assert client.statuses() == ["401", "401"] and not day.seen
 
 
 def test_public_routes_need_no_key_and_still_withhold_one():
     day = scene()
-    client = day.client(job("/open/x", "1") + job("/open/x", "2", more=bearing(b"key-three"))
-                        + job("/open/x", "3", more=bearing(b"nobody")))
+    client = day.client(request("/open/x", "1") + request("/open/x", "2", more=bearing(b"key-three"))
+                        + request("/open/x", "3", more=bearing(b"nobody")))
     day.world.run(400)
     assert client.statuses() == ["200"] * 3
     tenants = {fields[b"attempt-id"]: fields.get(b"tenant") for fields in day.seen}
@@ -69,36 +69,36 @@
 
 def test_without_tenants_credentials_go_along_as_they_came():
     day = scene(tenants=[])
-    day.client(job(more=b"Authorization: Basic abc\r\n"))
+    day.client(request(more=b"Authorization: Basic abc\r\n"))
     day.world.run(300)
     assert day.seen[0][b"authorization"] == b"Basic abc"
 
 
-def test_key_revoked_on_an_open_stream_holds_for_pipelined_jobs_too():
+def test_key_revoked_on_an_open_connection_holds_for_pipelined_requests_too():
     day = scene()
     slow = day.endpoints[0]
     slow.rule = lambda endpoint, fields, body: (good(endpoint, fields, body), 600)
-    client = day.client(job("/e/1", "1", "POST", b"a", more=bearing(b"key-one"))
-                        + job("/e/2", "2", "POST", b"b", more=bearing(b"key-one")))
+    client = day.client(request("/e/1", "1", "POST", b"a", more=bearing(b"key-one"))
+                        + request("/e/2", "2", "POST", b"b", more=bearing(b"key-one")))
     day.world.run(200)
     assert slow.ran == ["1"]
     day.change(tenants=[{**TENANTS[0], "apiKeys": ["key-two"]}, TENANTS[1]])
     day.world.run(900)
     assert client.statuses() == ["200", "401"] and slow.ran == ["1"]
-    client.transport.write(job("/e/3", "3", "POST", b"c", more=bearing(b"key-one"))
-                           + job("/e/4", "4", "POST", b"d", more=bearing(b"key-two")))
+    client.transport.write(request("/e/3", "3", "POST", b"c", more=bearing(b"key-one"))
+                           + request("/e/4", "4", "POST", b"d", more=bearing(b"key-two")))
     day.world.run(900)
     assert client.statuses() == ["200", "401", "401", "200"] and slow.ran == ["1", "4"]
 
 
-def test_key_revoked_while_the_job_waits_for_an_endpoint():
+def test_key_revoked_while_the_request_waits_for_an_endpoint():
     day = scene()
     day.tell(day.endpoints[0].life(state=DRAINING, seq=5))
-    client = day.client(job(more=bearing(b"key-one")))
+    client = day.client(request(more=bearing(b"key-one")))
     day.world.run(30)
     day.change(tenants=[TENANTS[1]])
     day.endpoint()
-    day.proxy.relay.pump_all()
+    day.proxy.forwarder.pump_all()
     day.world.run(300)
     assert client.statuses() == ["401"] and not day.endpoints[1].ran
 
@@ -106,9 +106,9 @@
 def test_homes_of_tenant_and_route_both_bind():
     day = scene()
     day.endpoints[0].rule = lambda endpoint, fields, body: good(endpoint, fields, body)
-    far = day.endpoint(area="b1")
+    far = day.endpoint(zone="b1")
     day.tell(day.endpoints[0].life(state=DRAINING, seq=5))
-    client = day.client(job(id="1", more=bearing(b"key-three")) + job(id="2", more=bearing(b"key-one")))
+    client = day.client(request(id="1", more=bearing(b"key-three")) + request(id="2", more=bearing(b"key-one")))
     day.world.run(600)
     assert client.statuses() == ["503", "200"] and far.ran == ["2"]
 
@@ -116,12 +116,12 @@
 def test_a_tenants_priority_goes_over_the_routes():
     day = scene(tenants=[{"name": "first", "apiKeys": ["one"], "priority": 0}, {"name": "last", "apiKeys": ["two"]}])
     for number in range(12):
-        day.client(job(id=f"w{number}", more=bearing(b"two")))
+        day.client(request(id=f"w{number}", more=bearing(b"two")))
     day.endpoints[0].rule = lambda endpoint, fields, body: (good(endpoint, fields, body), 30)
     day.world.run(5)
     for number in range(4):
-        day.client(job(id=f"l{number}", more=bearing(b"two")))
-    day.client(job(id="f", more=bearing(b"one")))
+        day.client(request(id=f"l{number}", more=bearing(b"two")))
+    day.client(request(id="f", more=bearing(b"one")))
     day.world.run(1500)
     ran = day.endpoints[0].ran
     assert "f" in ran and ran.index("f") < min([ran.index(i) for i in ("l0", "l1", "l2", "l3") if i in ran] or [99])
@@ -163,10 +163,10 @@
     assert all("hidden-key" not in json.dumps(registry.desk.stand()) for registry in fleet.registries.values())
 
 
-def test_began_jobs_are_counted_once_and_not_those_that_did_not_run():
+def test_began_requests_are_counted_once_and_not_those_that_did_not_run():
     day = Scene(routes=[route("pure", "/p/", maxAttempts=3)], more={"tenants": TENANTS},
                 settings='[platform]\naddress = "10.8.0.1:80"\nduties = ["usage_report"]\n')
-    counts = day.proxy.relay.counts
+    counts = day.proxy.forwarder.counts
     counts.told(1.7e12, day.world.env.now)
     day.world.run(9000)
     turned = []
@@ -178,10 +178,10 @@
         return good(endpoint, fields, body)
     day.endpoint(rule)
     day.endpoint(rule)
-    client = day.client(job(id="1", more=bearing(b"key-one")))
+    client = day.client(request(id="1", more=bearing(b"key-one")))
     day.world.run(600)
-    client.transport.write(job(id="2", more=bearing(b"key-two")) + job(id="3", more=bearing(b"key-three"))
-                           + job(id="never", more=bearing(b"key-three")))
+    client.transport.write(request(id="2", more=bearing(b"key-two")) + request(id="3", more=bearing(b"key-three"))
+                           + request(id="never", more=bearing(b"key-three")))
     day.world.run(1500)
     assert client.statuses()[:3] == ["200", "200", "200"]
     total = {}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Streams between daemons: whole messages only; what can't be read ends its stream with a log line."""
+"""Connections between daemons: whole messages only; what can't be read ends its connection with a log line."""
 import struct
 
 import pytest
@@ -33,14 +33,14 @@
     HELLO + frame([wire.LIVES, 0, [[["i", "s"]], 0]]), HELLO + frame([wire.PREPARE, 1, [["a", 5]]]),
     HELLO + frame([wire.ACCEPT, 1, [[5, "a"], b"nothing"]]), HELLO + frame([wire.CHOSEN, 0, 5]),
     HELLO + frame([wire.SUBSCRIBE, 0, ["x"]]), HELLO + frame([wire.LIVES])])
-def test_an_unreadable_message_closes_its_stream_and_nothing_else(data):
+def test_an_unreadable_message_closes_its_connection_and_nothing_else(data):
     fleet = Fleet(31)
     fleet.world.run(4000)
     client = dial(fleet, ("10.0.0.1", 7201 if data.startswith(HELLO) and len(data) % 2 == 0 else 7200))
     client.transport.write(data)
     fleet.world.run(500)
     assert client.closed
-    assert [line for line in fleet.world.lines if "wire:" in line and "stream closed" in line]
+    assert [line for line in fleet.world.lines if "wire:" in line and "connection closed" in line]
     assert fleet.world.until(lambda: len(fleet.owners()) == 1 and fleet.formed(12), 20000)
 
 
