--- a/stagevale/affinity/__init__.py
+++ b/stagevale/affinity/__init__.py
@@ -29,8 +29,8 @@
     return frozenset(homes.split(",")) if homes else frozenset()
 
 
-def snapshot_of(method, target, body):
-    """What a key stands for: the same key with another snapshot is another request under a used name."""
+def fingerprint_of(method, target, body):
+    """What a key stands for: the same key with another fingerprint is another request under a used name."""
     return hashlib.sha256(method + b"\n" + target + b"\n" + body).hexdigest()[:24]
 
 
@@ -41,12 +41,12 @@
     records, so an earlier turn that it didn't see was never noted by one and can't be any more.
     """
 
-    __slots__ = ("turn", "state", "snapshot", "by", "answer", "expires_ms")
+    __slots__ = ("turn", "state", "fingerprint", "by", "answer", "expires_ms")
 
-    def __init__(self, turn, state, snapshot, by, answer, expires_ms):
+    def __init__(self, turn, state, fingerprint, by, answer, expires_ms):
         self.turn = turn
         self.state = state
-        self.snapshot = snapshot
+        self.fingerprint = fingerprint
         self.by = by
         self.answer = answer
         self.expires_ms = expires_ms
@@ -55,12 +55,12 @@
         return self.turn, self.state
 
     def fields(self, now_ms):
-        return [list(self.turn), self.state, self.snapshot, self.by, self.answer, int(self.expires_ms - now_ms)]
+        return [list(self.turn), self.state, self.fingerprint, self.by, self.answer, int(self.expires_ms - now_ms)]
 
 
 def entry_from(fields, now_ms):
-    turn, state, snapshot, by, answer, left_ms = fields
-    return Entry((int(turn[0]), turn[1], int(turn[2])), int(state), snapshot, by, answer, now_ms + left_ms)
+    turn, state, fingerprint, by, answer, left_ms = fields
+    return Entry((int(turn[0]), turn[1], int(turn[2])), int(state), fingerprint, by, answer, now_ms + left_ms)
 
 
 class Record:
--- a/stagevale/affinity/holding.py
+++ b/stagevale/affinity/holding.py
@@ -3,7 +3,7 @@
 
 from stagevale import wire
 from stagevale.affinity import (ANSWER_BYTES, ANSWERED, FREE, HEADER_BYTES, KEY_HEADER, NOTED, UNKNOWN, Entry, Record,
-                                snapshot_of, entry_from, group_name, record_from)
+                                fingerprint_of, entry_from, group_name, record_from)
 from stagevale.ballots import majority
 
 HELD_MOST = 20000
@@ -27,12 +27,12 @@
 class Note:
     """What a request needs of its session: who, under which key, and how far noting has come."""
 
-    __slots__ = ("session", "key", "snapshot", "name", "turn", "noted", "settling", "settled", "attached", "first")
+    __slots__ = ("session", "key", "fingerprint", "name", "turn", "noted", "settling", "settled", "attached", "first")
 
-    def __init__(self, session, key, snapshot, name):
+    def __init__(self, session, key, fingerprint, name):
         self.session = session
         self.key = key
-        self.snapshot = snapshot
+        self.fingerprint = fingerprint
         self.name = name
         self.turn = 0
         self.noted = False
@@ -96,7 +96,7 @@
             if request.prefers is None:
                 self.look_at(request.session, name)
         elif keys and self.noting:
-            request.note = Note(request.session, keys[0].decode("latin-1"), snapshot_of(request.method, request.target, request.body), name)
+            request.note = Note(request.session, keys[0].decode("latin-1"), fingerprint_of(request.method, request.target, request.body), name)
         return ""
 
     # endpoints that sessions keep to
@@ -218,7 +218,7 @@
         note = request.note
         other = self.live.get((note.session, note.key))
         if other is not None:
-            if other.note.snapshot != note.snapshot:
+            if other.note.fingerprint != note.fingerprint:
                 self.forwarder.own(request, 422, "the key stands for another request")
                 return
             note.first = other
@@ -251,7 +251,7 @@
         if entry is None or entry.state == FREE:
             again = entry is not None and entry.turn[:2] == hold.record.version()
             self.note(request, hold, entry.turn[2] + 1 if again else 1, until_ms)
-        elif entry.snapshot != note.snapshot:
+        elif entry.fingerprint != note.fingerprint:
             self.conclude(request, None, None)
             self.forwarder.own(request, 422, "the key stands for another request")
         elif entry.state == ANSWERED:
@@ -322,7 +322,7 @@
                 return
             if self.agreed(note.name, answers):
                 note.noted = True
-                record.requests[note.key] = Entry(turn, NOTED, note.snapshot, self.me(), None, self.context.now_ms() + keep_ms)
+                record.requests[note.key] = Entry(turn, NOTED, note.fingerprint, self.me(), None, self.context.now_ms() + keep_ms)
                 if request.answer is not None:
                     self.conclude(request, FREE, None)
                     return
@@ -343,12 +343,12 @@
                 self.begin(request)
             else:
                 self.refuse(request, "its key can't be noted in time")
-        self.ask_all(note.name, wire.SESSION_NOTE, [note.session, record.number, record.holder, note.key, count, note.snapshot,
+        self.ask_all(note.name, wire.SESSION_NOTE, [note.session, record.number, record.holder, note.key, count, note.fingerprint,
                                                    self.me(), keep_ms], answered)
 
     def mark(self, note, turn, state, by, answer, keep_ms, done, pins):
         """Tells the group what became of a key; `done(kept)` once a majority has it or can't."""
-        fields = Entry(turn, state, note.snapshot, by, answer, self.context.now_ms() + keep_ms).fields(self.context.now_ms())
+        fields = Entry(turn, state, note.fingerprint, by, answer, self.context.now_ms() + keep_ms).fields(self.context.now_ms())
         hold = self.held.get(note.session)
         if hold is not None:
             entry = entry_from(fields, self.context.now_ms())
--- a/stagevale/affinity/keeping.py
+++ b/stagevale/affinity/keeping.py
@@ -227,7 +227,7 @@
 
     def on_note(self, peer, body, reply):
         """The holder notes a request before it is offered."""
-        name, version, session, number, holder, key, turn, snapshot, by, keep_ms = body
+        name, version, session, number, holder, key, turn, fingerprint, by, keep_ms = body
         group = self.able(name, version)
         if group is None:
             reply([-1])
@@ -243,7 +243,7 @@
             reply([2, entry.fields(now_ms)])
             return
         self.counts["noted"] += 1
-        record.requests[key] = Entry(turn, NOTED, snapshot, by, None, now_ms + keep_ms)
+        record.requests[key] = Entry(turn, NOTED, fingerprint, by, None, now_ms + keep_ms)
         self.kept(name, session, record, reply, [1])
 
     def on_mark(self, peer, body, reply):
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -5,7 +5,7 @@
 
 from simworld import Fleet
 from standins import Endpoint, client_at, good, request
-from stagevale.affinity import ANSWERED, FREE, NOTED, Entry, Record, choose_members, snapshot_of, tend
+from stagevale.affinity import ANSWERED, FREE, NOTED, Entry, Record, choose_members, fingerprint_of, tend
 from stagevale.affinity.log import SessionLog
 from stagevale.configuration.checking import read_config
 from stagevale.configuration.disk import Folder
@@ -361,7 +361,7 @@
     after = tend(settled, [], [r for r in registries if r.address != lost], {lost})
     assert after["|0"][0] == 2 and after["|0"][2] == settled["|0"][1]
     assert lost not in after["|0"][1] and len(set(after["|0"][1]) & set(settled["|0"][1])) == 2
-    assert choose_members("|1", registries[:2], ()) and snapshot_of(b"POST", b"/a", b"x") != snapshot_of(b"POST", b"/a", b"y")
+    assert choose_members("|1", registries[:2], ()) and fingerprint_of(b"POST", b"/a", b"x") != fingerprint_of(b"POST", b"/a", b"y")
 
 
 def test_the_log_survives_torn_batches_and_is_written_whole_in_time(tmp_path):
