--- /dev/null
+++ b/tests/test_growth.py
@@ -0,0 +1,118 @@
+"""What grows with the fleet: deltas of the gossip state, and the tool that measures capacity, by counts and never by time."""
+import json
+import os
+import random
+import sys
+
+from hypothesis import given, settings, strategies as st
+
+from stagevale import wire
+from stagevale.membership import clocks
+from stagevale.membership.state import (COMPLETE, DOWN, EXITING, JOINING, LEAVING, REMOVED, UP, GossipState, Member, Move,
+                                        from_message, merged)
+
+sys.path.insert(0, os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "tools"))
+import capacity  # noqa: E402
+
+STATES = (JOINING, UP, LEAVING, EXITING, DOWN)
+
+
+def first(number):
+    address = f"10.0.0.{number}:7200"
+    member = Member(address, number, 0, JOINING, "proxy", "a1", "a", "", [address, 1])
+    return GossipState({address: 1}, {address: member}, 0, {}, ())
+
+
+def content(state):
+    return ({address: member.rank() for address, member in state.members.items()}, state.table_version,
+            sorted(state.table.items()), sorted((move.key(), move.status) for move in state.moves), state.mark)
+
+
+def told(sender, base=None):
+    """What would travel: packed and read again."""
+    return from_message(json.loads(json.dumps(sender.message(base))))
+
+
+def change(state, by, luck):
+    """One change as daemons make them: a member's state, the table with a move, a move that is complete."""
+    kind = luck.randrange(4)
+    members = dict(state.members)
+    if kind < 2:
+        address = luck.choice(sorted(members))
+        members[address] = members[address].at(max(members[address].state, luck.choice(STATES)))
+        return state.changed(by, members=members)
+    if kind == 2:
+        version = state.table_version + 1
+        return state.changed(by, table_version=version, table={f"part-{n}": (by, str(version)) for n in range(3)},
+                             moves=(Move("part-0", by, f"to-{version}", 0),))
+    return state.changed(by, moves=tuple(Move(m.part, m.giver, m.taker, COMPLETE) for m in state.moves))
+
+
+@given(st.integers(0, 10 ** 9), st.integers(2, 5), st.integers(5, 60))
+@settings(max_examples=200, deadline=None, database=None, derandomize=True)
+def test_what_differs_ends_in_the_same_state_as_the_whole(seed, count, steps):
+    luck = random.Random(seed)
+    small = [first(number + 1) for number in range(count)]
+    whole = list(small)
+    past = [{state.mark: state.counted()} for state in small]
+    for _ in range(steps):
+        one, other = luck.sample(range(count), 2)
+        if luck.random() < 0.5:
+            drawn = luck.random()
+            small[one] = change(small[one], f"10.0.0.{one + 1}:7200", random.Random(drawn))
+            whole[one] = change(whole[one], f"10.0.0.{one + 1}:7200", random.Random(drawn))
+        else:
+            base = past[one].get(small[other].mark) or small[other].counted()
+            small[other] = merged(small[other], told(small[one], base))
+            whole[other] = merged(whole[other], told(whole[one]))
+        past[one][small[one].mark] = small[one].counted()
+        assert [content(state) for state in small] == [content(state) for state in whole]
+
+
+def test_a_peer_a_change_behind_gets_one_row_and_not_the_fleet():
+    state = first(1)
+    for number in range(2, 200):
+        state = merged(state, first(number))
+    base = state.counted()
+    address = "10.0.0.77:7200"
+    after = state.changed("10.0.0.1:7200", members={**state.members, address: state.members[address].at(UP)})
+    clock, rows, version, table, moves, dots = after.message(base)
+    assert len(rows) == 1 and len(clock) == 1 and not table and not moves and not dots
+    assert merged(state, told(after, base)).mark == after.mark
+    assert clocks.covers(after.counted(), after.members[address].dot)
+
+
+def test_removed_members_that_come_back_reach_a_peer_that_removed_them():
+    """Its counter stands in the peer's clock but compares as nothing, so it must not count as known."""
+    state = merged(first(1), first(2))
+    gone = state.changed("10.0.0.1:7200", members={**state.members, "10.0.0.2:7200":
+                                                   state.members["10.0.0.2:7200"].at(REMOVED)})
+    comer = Member("10.0.0.2:7200", 9, 1, JOINING, "proxy", "a1", "a", "", ["10.0.0.2:7200", 1])
+    back = merged(gone, GossipState({"10.0.0.2:7200": 1}, {"10.0.0.2:7200": comer}, 0, {}, ()))
+    assert merged(gone, told(back, gone.counted())).members["10.0.0.2:7200"].uid == 9
+
+
+def test_bytes_of_a_restart_for_each_daemon_stay_bounded_as_the_fleet_doubles():
+    rows = [capacity.membership_row(n, 4, 4, 2) for n in (12, 24, 48)]
+    assert all(row["formed"] and row["restartDone"] for row in rows)
+    for smaller, larger in zip(rows, rows[1:]):
+        growth = larger["daemons"] / smaller["daemons"]
+        assert larger["calmBytesPerS"] < smaller["calmBytesPerS"] * growth * 2.0
+        assert larger["restartKb"] < smaller["restartKb"] * growth * 2.0
+    assert rows[-1]["restartKb"] < 56 and rows[-1]["largestBytes"] < 3000
+
+
+def test_welcomes_and_configurations_rise_in_proportion():
+    few, many = capacity.endpoints_row(200, 10), capacity.endpoints_row(800, 40)
+    assert many["welcomeBytes"] < few["welcomeBytes"] * 5
+    few, many = capacity.configuration_row(50, 200, 10), capacity.configuration_row(200, 800, 40)
+    assert many["packedBytes"] < few["packedBytes"] * 5 and many["hosts"] == 50
+    rows = wire.pack_rows([["i-1", "s", 1]] * 500)
+    assert len(rows) < 1000 and wire.unpack_rows(rows) == [["i-1", "s", 1]] * 500
+
+
+def test_slope_and_words_of_the_tool(capsys):
+    assert capacity.slope([{"x": 1, "y": 3.0}, {"x": 3, "y": 7.0}], "y", "x") == (1.0, 2.0)
+    assert capacity.main(["nothing"]) == 2 and capacity.main(["choice", "x"]) == 2
+    assert "want a part" in capsys.readouterr().err
+    assert capacity.main(["choice", "3"]) == 0 and json.loads(capsys.readouterr().out)["endpointsOfOneService"] == 3
