--- a/stagevale/membership/__init__.py
+++ b/stagevale/membership/__init__.py
@@ -281,9 +281,13 @@
         lost = [member for member in self.others() if member.address in self.unreachable]
         overview = None
         targets = set()
-        if live and settled and not self.me.core and random.random() > self.far_share(live):
+        if live and not self.me.core and random.random() > self.far_share(live):
             beside = [member for member in live if member.zone == self.me.zone] or live
             targets.add(random.choice(beside).address)
+            differing = [] if settled else [member for member in beside
+                                            if self.rows.get(member.address, (0, 0, 0))[2] != self.state.mark]
+            if differing:
+                targets.add(random.choice(differing).address)
         elif live:
             beside = [member for member in live if member.zone == self.me.zone]
             away = [member for member in live if member.zone != self.me.zone]
