--- a/stagevale/membership/__init__.py
+++ b/stagevale/membership/__init__.py
@@ -11,6 +11,7 @@
 
 DATAGRAM_BYTES = 60000
 KEPT_CLOCKS = 24
+SAID_ROUNDS = 3
 FAR_TELLERS = 24.0
 GONE_SHARE = 8.0
 
@@ -235,14 +236,23 @@
         since_ms = self.down_since_ms.setdefault(member.key, now_ms)
         return now_ms - since_ms > self.context.settings.bounds.contact_ms * GONE_SHARE
 
+    def recent(self, observer, heartbeat):
+        """True where an observer may still say what it said at this heartbeat: one that still suspects says so each
+        round, and what others pass on of one that no longer does would go about for ever."""
+        row = self.rows.get(observer)
+        if row is None:
+            return True
+        behind = (row[1] - heartbeat) & 0xFFFF
+        return behind < SAID_ROUNDS or behind >= 0x8000
+
     def bury(self):
         """Marks unreachable members down, where a majority of the core machines finds them unreachable."""
         core = {member.machine for member in self.state.members.values() if member.core and member.state != REMOVED}
         members = dict(self.state.members)
         changed = False
         for address in self.unreachable:
-            witnesses = {observer.rpartition(":")[0] for observer, (_, seen) in self.observed.items()
-                         if address in seen and observer not in self.unreachable
+            witnesses = {observer.rpartition(":")[0] for observer, (heartbeat, seen) in self.observed.items()
+                         if address in seen and observer not in self.unreachable and self.recent(observer, heartbeat)
                          and observer in members and members[observer].core}
             if self.me.core:
                 witnesses.add(self.me.machine)
@@ -310,7 +320,7 @@
         if downed and random.random() < 0.15:
             targets.add(random.choice(downed).address)
         targets.discard(self.me.address)
-        for address in targets:
+        for address in sorted(targets):
             overview = overview or self.overview()
             self.send_to(address, overview)
         alone = self.state.members[self.me.address].state == JOINING or not live
@@ -352,7 +362,8 @@
         seen = [[self.me.address, self.heartbeat, sorted(self.unreachable)]] if self.unreachable else []
         for observer, (heartbeat, addresses) in self.observed.items():
             member = self.state.members.get(observer)
-            if addresses and member is not None and member.core and observer not in self.unreachable:
+            if addresses and member is not None and member.core and observer not in self.unreachable \
+                    and self.recent(observer, heartbeat):
                 seen.append([observer, heartbeat, sorted(addresses)])
         return wire.pack([wire.OVERVIEW, self.me.address, self.clock_bytes() if with_clock else b"",
                           struct.pack(f"!{len(marks)}I", *marks), told, json.dumps(seen) if seen else "",
@@ -438,7 +449,7 @@
         seen = json.loads(seen) if seen else ()
         for observer, heartbeat, addresses in seen:
             known = self.observed.get(observer)
-            if known is None or heartbeat > known[0] or heartbeat < known[0] - 10:
+            if observer != me and self.recent(observer, heartbeat) and (known is None or heartbeat > known[0] or heartbeat < known[0] - 10):
                 self.observed[observer] = (heartbeat, frozenset(addresses))
         if sender in self.observed and not any(observer == sender for observer, _, _ in seen):
             self.observed.pop(sender)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -231,3 +231,17 @@
     before = membership.packed_state()
     membership.make(membership.state.changed(membership.me.address))
     assert membership.packed_state() is not before
+
+
+def test_what_an_observer_no_longer_says_does_not_go_about_for_ever():
+    """Suspicions of the first seconds stood in every overview for the rest of a fleet's life, and counted as witnesses."""
+    fleet = Fleet(11, 6)
+    assert fleet.world.until(lambda: fleet.formed(18), 20000)
+    members = [daemon.membership for daemon in fleet.daemons()]
+    first, heartbeat = members[1], members[0].heartbeat
+    for membership in members[1:]:
+        membership.observed[members[0].me.address] = (heartbeat, frozenset({first.me.address}))
+    fleet.world.run(6000)
+    assert not any(membership.recent(observer, said) for membership in members[1:]
+                   for observer, (said, _) in membership.observed.items() if observer == members[0].me.address)
+    assert all(len(membership.overview()) < 200 for membership in members)
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -123,6 +123,7 @@
     formed, ms, messages, size, cpu = fleet.settle(90000)
     row = {"daemons": daemons, "formed": formed, "startMs": ms, "startMessages": messages / daemons,
            "startKb": size / daemons / 1000.0, "startCpuMs": cpu / daemons * 1000.0}
+    fleet.world.run(5000)
     messages, size, cpu = fleet.measure(10000)
     row.update(calmMessagesPerS=messages / daemons / 10.0, calmBytesPerS=size / daemons / 10.0,
                calmCpuMsPerS=cpu / daemons * 100.0)
