--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -107,6 +107,7 @@
     assert many["welcomeBytes"] < few["welcomeBytes"] * 5
     few, many = capacity.configuration_row(50, 200, 10), capacity.configuration_row(200, 800, 40)
     assert many["packedBytes"] < few["packedBytes"] * 5 and many["hosts"] == 50
+    assert capacity.beats_row(5)["targetBytes"] > 0
     rows = wire.pack_rows([["i-1", "s", 1]] * 500)
     assert len(rows) < 1000 and wire.unpack_rows(rows) == [["i-1", "s", 1]] * 500
 
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -19,6 +19,7 @@
 from stagevale.membership import Membership  # noqa: E402
 from stagevale.placement import place  # noqa: E402
 from stagevale.registrations import READY, Life, Lives  # noqa: E402
+from stagevale.registrations.calls import CallConnection, dispatcher  # noqa: E402
 from stagevale.settings import read_settings  # noqa: E402
 
 SETTINGS = """
@@ -195,6 +196,54 @@
             "markMs": mark_ms}
 
 
+class Sink:
+    """A transport that counts what is written to it."""
+
+    def __init__(self):
+        self.size = 0
+
+    def write(self, data):
+        self.size += len(data)
+
+    def is_closing(self):
+        return False
+
+    def close(self):
+        pass
+
+
+def beats_row(beats):
+    """What a registry pays for one heartbeat, from its bytes to the answer's, and a proxy for each endpoint that it holds."""
+    settings = read_settings(SETTINGS.format(name="r", ip="10.0.0.1", zone="z0", region="r0", seeds="", zones='z0 = "r0"',
+                                             listen='control = "10.0.0.1:8000"'))
+    context, lives = SimContext(World(1), settings, "r"), Lives()
+
+    class Desk:
+        """As much of the registry as a heartbeat meets: it merges and answers."""
+
+        @staticmethod
+        def beat(id, table, answer):
+            lives.merge(Life(id, table["details"]["service"], table["address"], table["details"]["zone"], 4, READY,
+                             table["status"]["callSeq"], 0, 0, 0, 0.0, table["details"]["version"]), 0.0)
+            answer(200, {})
+    connection = CallConnection(context, dispatcher(context, Desk, 4.0))
+    connection.connection_made(Sink())
+
+    def send():
+        for n in range(beats):
+            body = json.dumps({"address": "10.9.0.1:8080", "details": {"service": "s", "version": "v1", "zone": "z0",
+                                                                       "slots": 4},
+                               "status": {"state": "ready", "callSeq": n + 1, "coldLeftMs": 0}}).encode()
+            connection.data_received(b"POST /v1/instances/i-7f3a91c2/heartbeat HTTP/1.1\r\nHost: r\r\nContent-Length: "
+                                     + str(len(body)).encode() + b"\r\n\r\n" + body)
+    _, ms = timed(send)
+    tracemalloc.start()
+    held = [Target(f"i-{n:08x}", "s", f"10.9.{n >> 8}.{n & 255}:80", "z0", "r0", 4, "v1") for n in range(2000)]
+    size, _ = tracemalloc.get_traced_memory()
+    tracemalloc.stop()
+    return {"beats": beats, "beatUs": ms / beats * 1000.0, "targetBytes": size / len(held)}
+
+
 class Choice:
     """As much of a request as a choice looks at."""
 
@@ -237,6 +286,7 @@
     "configuration": lambda sizes: [configuration_row(n, n * 17 // 3, max(1, n * 8 // 75))
                                     for n in sizes or (3000, 10000, 30000)],
     "endpoints": lambda sizes: [endpoints_row(n, max(1, n // 22)) for n in sizes or (7000, 23000, 70000)],
+    "beats": lambda sizes: [beats_row(n) for n in sizes or (500, 2000)],
     "choice": lambda sizes: [choice_row(n) for n in sizes or (22, 60, 180)],
 }
 
