--- a/stagevale/affinity/holding.py
+++ b/stagevale/affinity/holding.py
@@ -57,7 +57,7 @@
         self.live = {}
         self.pins = OrderedDict()
         self.looked = set()
-        self.counts = {"held": 0, "handedOver": 0, "repeats": 0, "unknown": 0, "refuse": 0}
+        self.counts = {"held": 0, "handedOver": 0, "repeats": 0, "unknown": 0, "refused": 0}
         self.noting = True
         board.on(wire.SESSION_HEIR, self.on_heir)
 
@@ -234,7 +234,7 @@
                       lambda: self.refuse(request, "its session's record can't be had in time"))
 
     def refuse(self, request, why):
-        self.counts["refuse"] += 1
+        self.counts["refused"] += 1
         self.conclude(request, FREE, None)
         self.forwarder.give_back(request, why)
 
--- a/stagevale/commands.py
+++ b/stagevale/commands.py
@@ -147,7 +147,7 @@
             kind = row["kind"]
             print(f"\n{kind}:")
         calm, lost = row["calm"], row["lost"]
-        print(f"  {row['route']}: in aim {lost['inAim']:.1%} (calm {calm['inAim']:.1%}), refuse {lost['refuse']:.1%}, "
+        print(f"  {row['route']}: in aim {lost['inAim']:.1%} (calm {calm['inAim']:.1%}), refused {lost['refused']:.1%}, "
               f"most runs of a request {lost['mostRunsOfAJob']}")
         for name, shares in (("seen", row["seen"]), ("calm", calm["regions"]), ("lost", lost["regions"])):
             print(f"    {name:5} " + "  ".join(f"{place} {share:.0%}" for place, share in shares.items()))
--- a/stagevale/forwarding/__init__.py
+++ b/stagevale/forwarding/__init__.py
@@ -269,7 +269,7 @@
             self.offer_to(request, second, now_ms)
 
     def tired(self, request):
-        """A request that no endpoint could take within its patience is refuse."""
+        """A request that no endpoint could take within its patience is refused."""
         queue = self.waiting.get(request.service)
         if queue and request in queue:
             queue.remove(request)
--- a/stagevale/rehearsing/__init__.py
+++ b/stagevale/rehearsing/__init__.py
@@ -31,11 +31,11 @@
 class Tally:
     """What became of the requests of one route."""
 
-    __slots__ = ("kind", "requests", "in_aim", "late", "refuse", "zones", "runs")
+    __slots__ = ("kind", "requests", "in_aim", "late", "refused", "zones", "runs")
 
     def __init__(self, kind):
         self.kind = kind
-        self.requests = self.in_aim = self.late = self.refuse = self.runs = 0
+        self.requests = self.in_aim = self.late = self.refused = self.runs = 0
         self.zones = {}
 
     def row(self, region_of):
@@ -45,7 +45,7 @@
         sent = max(1, sum(self.zones.values()))
         requests = max(1, self.requests)
         return {"kind": self.kind, "requests": self.requests, "inAim": round(self.in_aim / requests, 3),
-                "late": round(self.late / requests, 3), "refuse": round(self.refuse / requests, 3),
+                "late": round(self.late / requests, 3), "refused": round(self.refused / requests, 3),
                 "regions": {region: round(count / sent, 3) for region, count in sorted(regions.items())},
                 "zones": {zone: round(count / sent, 3) for zone, count in sorted(self.zones.items())},
                 "mostRunsOfAJob": self.runs}
@@ -204,7 +204,7 @@
         if target is None:
             if now_ms - trial.start_ms >= trial.route.target_ms * REFUSE_SHARE:
                 tally.requests += 1
-                tally.refuse += 1
+                tally.refused += 1
             else:
                 put(now_ms + trial.route.target_ms * REFUSE_SHARE / 4, "offer", trial)
             return
--- a/tests/test_rehearsing.py
+++ b/tests/test_rehearsing.py
@@ -145,14 +145,14 @@
     assert rehearse(plan, "a", 10, 3)["r-pure/p/"].zones.keys() == {"b1"}
 
 
-def test_too_little_left_is_shown_as_refuse_or_late():
+def test_too_little_left_is_shown_as_refused_or_late():
     busy = stand()
     for row in busy["proxies"]:
         row["report"][1][0][5] = {row["zone"]: 200}
     plan = Plan([busy], CONFIG, Bounds({}))
     lost = report(plan, "a", 10, 1)
     row = next(row for row in lost["routes"] if row["route"] == "r-pure/p/")
-    assert row["lost"]["inAim"] < row["calm"]["inAim"] and row["lost"]["refuse"] + row["lost"]["late"] > 0.2
+    assert row["lost"]["inAim"] < row["calm"]["inAim"] and row["lost"]["refused"] + row["lost"]["late"] > 0.2
 
 
 def test_the_same_seed_gives_the_same_table():
