--- a/stagevale/programs/proxy.py
+++ b/stagevale/programs/proxy.py
@@ -117,6 +117,8 @@
         """Keeps the subscription alive, or looks for another feeder."""
         now_ms = self.context.now_ms()
         self.context.after(self.interval_ms * (1.0 if self.subscribed else 0.3), self.tick)
+        if self.forwarder.counts is not None:
+            self.context.after(self.interval_ms * 0.5, self.tell_counts, False)
         if self.ending:
             return
         if self.feeder is not None and now_ms - self.feeder_heard_ms > self.interval_ms * 1.6:
