--- a/stagevale/rollouts/checking.py
+++ b/stagevale/rollouts/checking.py
@@ -7,7 +7,6 @@
 from stagevale.configuration.checking import ConfigFailure, check_version, fingerprint
 from stagevale.rollouts import DONE, ENDED, FALLEN, PAUSED, SHIFTING, Rollout
 
-ROLLOUT_BYTES = 64 * 1024
 SHARE = t.Float(gt=0.0, lte=1.0)
 ROLLOUT = t.Dict({
     t.Key("version"): check_version,
