--- a/stagevale/programs/proxy.py
+++ b/stagevale/programs/proxy.py
@@ -240,8 +240,10 @@
         if (snapshot.partners.rows or snapshot.rollouts) and not self.asking:
             self.asking = True
             self.ask_lease()
-        if self.ready() != was_ready and self.feeder is not None:
-            self.subscribe(snapshot.serial, False)
+        if self.ready() != was_ready:
+            self.context.log.info("proxy: %s.", "ready to serve" if self.ready() else "no longer ready to serve")
+            if self.feeder is not None:
+                self.subscribe(snapshot.serial, False)
         self.forwarder.pump_all()
 
     def ask_lease(self):
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -117,6 +117,7 @@
         assert call("127.0.0.1", control, "GET", "/v1/nothing")[0] == 404
         assert call("127.0.0.1", control, "POST", "/v1/instances/i-2/heartbeat", "{")[0] == 400
         assert call("127.0.0.1", control, "POST", "/v1/evacuation/nowhere/begin")[0] == 404
+        programs["proxy"].logs("ready to serve")
         assert call("127.0.0.2", ready, "GET", "/v1/readiness")[0] == 200
         programs["registry"].logs(f"membership: 127.0.0.1:{inner + 1} is up")
         assert app(["doctor", "--settings", str(files["registry"]), "--control", f"127.0.0.1:{control}",
