--- a/stagevale/registrations/desk.py
+++ b/stagevale/registrations/desk.py
@@ -246,7 +246,7 @@
         for part, lives in by_part.items():
             group = self.group_of(part)
             others = [address for address in group if address != self.board.address]
-            rows = [life.fields(now_ms) for life in lives]
+            rows = wire.pack_rows([life.fields(now_ms) for life in lives])
             held = Round((0, ""), group)
             if self.board.address in group:
                 held.count(self.board.address, True, (0, ""))
@@ -276,7 +276,7 @@
         group = self.group_of(part)
         regions = {self.region_of(address) for address in group if self.membership.reachable(address)}
         mine = self.membership.me.region
-        rows = [life.fields(now_ms) for life in lives]
+        rows = wire.pack_rows([life.fields(now_ms) for life in lives])
         for member in self.registries():
             if member.address in group or member.address == self.board.address:
                 continue
@@ -284,7 +284,12 @@
                 self.board.cast(member.address, wire.LIVES, [rows, 1])
 
     def on_lives(self, peer, body, reply):
-        rows, passed_on = body
+        self.take_lives(wire.unpack_rows(body[0]), body[1])
+        if reply is not None:
+            reply(1)
+
+    def take_lives(self, rows, passed_on):
+        """Takes in what another registry knows of some lives."""
         now_ms = self.context.now_ms()
         by_part = {}
         news = []
@@ -299,8 +304,6 @@
                 for part, lives in by_part.items():
                     if self.board.address in self.group_of(part):
                         self.pass_on(part, lives)
-        if reply is not None:
-            reply(1)
 
     def on_heard(self, peer, body, reply):
         """Which unchanged lives another registry has heard."""
@@ -501,17 +504,29 @@
         wanted = [number for number, part in enumerate(PARTS)
                   if number < len(marks) and marks[number] != self.lives.mark(part)]
         if wanted:
-            rows = [row for number in wanted for row in self.lives.rows(PARTS[number], now_ms)]
-            self.board.call(peer, wire.PART_WANTED, [wanted, rows], self.interval_ms,
+            summaries = [self.lives.summary(PARTS[number]) for number in wanted]
+            self.board.call(peer, wire.PART_WANTED, [wanted, summaries], self.interval_ms,
                             lambda answer, failure: failure is None and answer is not None
-                            and self.on_lives(peer, [answer, 1], None))
+                            and self.got_part(peer, wanted, answer))
 
     def on_part_wanted(self, peer, body, reply):
-        """Repair: takes what the other keeps of some parts and hands over what is kept here."""
-        wanted, rows = body
+        """Repair: answers with what differs here from another's summary of some parts, and with what is wanted of it."""
+        now_ms = self.context.now_ms()
+        rows, keys = [], []
+        for number, summary in zip(*body):
+            differing, wanted = self.lives.differing(PARTS[number], summary, now_ms)
+            rows += differing
+            keys += wanted
+        reply([wire.pack_rows(rows), keys])
+
+    def got_part(self, peer, wanted, answer):
+        """The answer to a summary: takes in what differs there and sends what is wanted from here."""
+        rows, keys = answer
         now_ms = self.context.now_ms()
-        self.on_lives(peer, [rows, 1], None)
-        reply([row for number in wanted for row in self.lives.rows(PARTS[number], now_ms)])
+        mine = [self.lives.by_key[key].fields(now_ms) for key in keys if key in self.lives.by_key]
+        self.take_lives(wire.unpack_rows(rows), 1)
+        if mine:
+            self.board.cast(peer, wire.LIVES, [wire.pack_rows(mine), 1])
 
     def placement_changed(self):
         self.context.soon(self.move_parts)
@@ -527,8 +542,8 @@
                 self.moves_running.discard(move.key())
                 if failure is None and answer:
                     self.membership.complete_move(move)
-            self.board.call(move.taker, wire.HANDOFF, [move.part, self.lives.rows(move.part, self.context.now_ms())],
-                            self.interval_ms, ready)
+            rows = wire.pack_rows(self.lives.rows(move.part, self.context.now_ms()))
+            self.board.call(move.taker, wire.HANDOFF, [move.part, rows], self.interval_ms, ready)
         if self.stopping:
             mine = any(self.board.address in group for part, group in self.membership.state.table.items()
                        if part in PARTS)
@@ -536,8 +551,7 @@
                 self.membership.exit()
 
     def on_handoff(self, peer, body, reply):
-        part, rows = body
-        self.on_lives(peer, [rows, 1], None)
+        self.take_lives(wire.unpack_rows(body[1]), 1)
         reply(1)
 
     # the configuration
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -6,10 +6,14 @@
 
 from hypothesis import given, settings, strategies as st
 
+from simworld import Fleet
 from stagevale import wire
 from stagevale.membership import clocks
 from stagevale.membership.state import (COMPLETE, DOWN, EXITING, JOINING, LEAVING, REMOVED, UP, GossipState, Member, Move,
                                         from_message, merged)
+from stagevale.placement import part_of
+from stagevale.registrations import DRAINING, GONE, READY, Life, Lives, life_from_fields
+from test_registrations import beat_of
 
 sys.path.insert(0, os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "tools"))
 import capacity  # noqa: E402
@@ -117,3 +121,58 @@
     assert capacity.main(["nothing"]) == 2 and capacity.main(["choice", "x"]) == 2
     assert "want a part" in capsys.readouterr().err
     assert capacity.main(["choice", "3"]) == 0 and json.loads(capsys.readouterr().out)["endpointsOfOneService"] == 3
+
+
+def test_repair_of_a_part_brings_what_differs_and_not_the_part():
+    """Whole parts went both ways at each difference of a moment: 5 of 6.4 MB over borders at the start of 96 daemons."""
+    def life(number, state=READY, seq=1):
+        return Life(f"i-{number}", "s", f"10.9.0.{number}:80", "a1", 3, state, seq, 0, 0, 0)
+    one, other = Lives(), Lives()
+    for number in range(400):
+        one.merge(life(number), 0)
+        if number != 7:
+            other.merge(life(number, DRAINING if number == 9 else READY, 2 if number == 9 else 1), 0)
+    other.merge(life(500), 0)
+    part = part_of("s")
+    rows, keys = other.differing(part, one.summary(part), 0)
+    assert sorted(row[0] for row in rows) == ["i-500", "i-9"]
+    assert {one.by_key[key].id for key in keys} == {"i-7", "i-9"}
+    assert one.mark(part) != other.mark(part)
+    for row in rows:
+        one.merge(life_from_fields(row, 0), 0)
+    for key in keys:
+        other.merge(one.by_key[key], 0)
+    assert one.mark(part) == other.mark(part) and other.differing(part, one.summary(part), 0) == ([], [])
+
+
+@given(st.lists(st.tuples(st.integers(0, 6), st.sampled_from((READY, DRAINING, GONE)), st.integers(1, 9), st.integers(0, 9)),
+                max_size=60), st.randoms(use_true_random=False))
+@settings(max_examples=100, deadline=None, database=None, derandomize=True)
+def test_marks_that_follow_entry_by_entry_are_the_marks_of_what_is_known(news, luck):
+    """Equal knowledge has equal marks, whatever the order in which it came and what was forgotten since."""
+    lives, again = Lives(), Lives()
+    for step, (number, state, seq, unhealthy_at) in enumerate(news):
+        lives.merge(Life(f"i-{number}", f"s{number % 3}", "10.9.0.1:80", "a1", 3, state, seq, unhealthy_at, 0, 0), step)
+        if luck.random() < 0.1:
+            lives.forget(step - 5, step - 5)
+    for life in luck.sample(list(lives.by_id.values()), len(lives.by_id)):
+        again.merge(life, 0)
+    assert lives.mark_of_all() == again.mark_of_all()
+
+
+def test_bytes_over_borders_when_endpoints_drain_do_not_rise_with_all_endpoints():
+    crossed = []
+    for count in (60, 240):
+        fleet = Fleet(5)
+        assert fleet.world.until(lambda: fleet.formed(12), 25000)
+        for number in range(count):
+            for seq in (1, 2):
+                fleet.registries[number % 6].desk.beat(f"i-{number}", beat_of(f"i-{number}", seq=seq), lambda *_: None)
+        fleet.world.run(4000)
+        before = fleet.world.crossed
+        for number in range(6):
+            fleet.registries[number].desk.beat(f"i-{number}", beat_of(f"i-{number}", "draining", 3), lambda *_: None)
+        fleet.world.run(3000)
+        crossed.append(fleet.world.crossed - before)
+        assert len({registry.desk.lives.mark_of_all() for registry in fleet.registries.values()}) == 1
+    assert crossed[1] < crossed[0] * 1.5
