--- a/stagevale/programs/registry.py
+++ b/stagevale/programs/registry.py
@@ -2,7 +2,7 @@
 import os
 
 from stagevale.configuration.disk import DiskRegister, Folder
-from stagevale.duties import USAGE_DUTY, DutyKeeper
+from stagevale.duties.keeping import USAGE_DUTY, DutyKeeper
 from stagevale.duties.counts import Ledger
 from stagevale.duties.true_time import TrueTime
 from stagevale.placement import place
--- a/stagevale/programs/store.py
+++ b/stagevale/programs/store.py
@@ -1,7 +1,7 @@
 """The store: keeps the configuration and the evacuations on disk; serves nothing outside."""
 import os
 
-from stagevale.configuration import Keeper
+from stagevale.configuration.keeping import Keeper
 from stagevale.configuration.disk import DiskRegister, Folder
 from stagevale.placement import place
 from stagevale.programs import Daemon
--- a/tests/simworld.py
+++ b/tests/simworld.py
@@ -371,7 +371,7 @@
         daemon.begin()
 
     def start_store(self, number, first=False):
-        from stagevale.configuration import Keeper
+        from stagevale.configuration.keeping import Keeper
         from stagevale.placement import place
         from stagevale.programs import Daemon
         ip = f"10.0.0.{number + 1}"
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -6,7 +6,7 @@
 
 from simworld import Fleet
 from standins import Endpoint, client_at, good, request
-from stagevale.configuration import Keeper
+from stagevale.configuration.keeping import Keeper
 from stagevale.configuration.orders import MOVE_ROLLOUT, START_ROLLOUT, decide
 from stagevale.configuration.value import Value, read_value
 from stagevale.leases import Lease
