--- a/stagevale/registrations/desk.py
+++ b/stagevale/registrations/desk.py
@@ -43,7 +43,7 @@
     __slots__ = ("context", "board", "membership", "lives", "value", "value_heard_ms", "subscribers", "attached",
                  "ping_heard_ms", "voter", "owners", "rounds", "life", "heard_ids", "pulling", "interval_ms", "ports",
                  "started_ms", "stopping", "moves_running", "round_no", "disk", "saved_mark", "saving", "true_time", "ledger",
-                 "duties", "unfed", "feeding", "claimants", "confirming", "partners", "sessions", "open_log",
+                 "duties", "unfed", "feeding", "unannounced", "claimants", "confirming", "partners", "sessions", "open_log",
                  "outcomes")
 
     def __init__(self, context, board, membership):
@@ -73,6 +73,7 @@
         self.saving = False
         self.unfed = {}
         self.feeding = False
+        self.unannounced = set()
         self.claimants = []
         self.outcomes = {}
         self.confirming = False
@@ -885,8 +886,16 @@
         return zlib.crc32(repr([list(row) for row in rows]).encode())
 
     def announce(self, proxy):
-        """Tells the other registries that one proxy is fed here, is ready, or isn't; pings repair what gets lost."""
-        news = [row for row in self.my_attached() if row[0] == proxy] or [[proxy]]
+        """Tells the other registries that a proxy is fed here, is ready, or isn't, together with what else changes within
+        a moment, since a start brings all proxies at once; pings repair what gets lost."""
+        if not self.unannounced:
+            self.context.after(self.interval_ms * FEED_SHARE, self.announce_now)
+        self.unannounced.add(proxy)
+
+    def announce_now(self):
+        proxies, self.unannounced = self.unannounced, set()
+        known = {row[0]: row for row in self.my_attached()}
+        news = [known.get(proxy, [proxy]) for proxy in sorted(proxies)]
         for member in self.registries():
             if member.address != self.board.address:
                 self.board.cast(member.address, wire.ATTACHED, news)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -187,3 +187,18 @@
         fleet.restart(number)
     assert fleet.settle(90000)[0]
     assert (fleet.world.crossed - before) / (fleet.sent[1] - sent) < 0.3
+
+
+def test_registries_tell_of_the_proxies_they_feed_together():
+    """Each proxy's two words, that it is fed and that it is ready, went to every registry by themselves."""
+    fleet, heard = Fleet(7, 36), []
+    for number in range(4):
+        fleet.registries[0].desk.beat(f"i-{number}", beat_of(f"i-{number}"), lambda *_: None)
+    board = fleet.registries[5].desk.board
+    handler = board.handlers[wire.ATTACHED]
+    board.on(wire.ATTACHED, lambda peer, body, reply: (heard.append(len(body)), handler(peer, body, reply)))
+    assert fleet.world.until(lambda: fleet.formed(48), 40000)
+    fleet.world.run(2000)
+    told = {row[0] for rows in fleet.registries[5].desk.attached.values() for row in rows}
+    assert len(told) + len(fleet.registries[5].desk.subscribers) == 36
+    assert sum(heard) >= len(told) and len(heard) < 20
