--- a/stagevale/registrations/desk.py
+++ b/stagevale/registrations/desk.py
@@ -43,7 +43,7 @@
     __slots__ = ("context", "board", "membership", "lives", "value", "value_heard_ms", "subscribers", "attached",
                  "ping_heard_ms", "voter", "owners", "rounds", "life", "heard_ids", "pulling", "interval_ms", "ports",
                  "started_ms", "stopping", "moves_running", "round_no", "disk", "saved_mark", "saving", "true_time", "ledger",
-                 "duties", "unfed", "feeding", "unannounced", "claimants", "confirming", "partners", "sessions", "open_log",
+                 "duties", "unfed", "feeding", "unannounced", "welcoming", "claimants", "confirming", "partners", "sessions", "open_log",
                  "outcomes")
 
     def __init__(self, context, board, membership):
@@ -74,6 +74,7 @@
         self.unfed = {}
         self.feeding = False
         self.unannounced = set()
+        self.welcoming = 0.0, None
         self.claimants = []
         self.outcomes = {}
         self.confirming = False
@@ -324,6 +325,7 @@
     def feed(self, news):
         """Pushes lives to the proxies that this registry feeds: at once what takes an endpoint away, the rest together
         with what else comes within a moment, so that a proxy's work doesn't rise with the square of the endpoints."""
+        self.welcoming = 0.0, None
         if not self.subscribers:
             return
         for life in news:
@@ -869,14 +871,21 @@
             return
         subscriber.welcomed = True
         subscriber.waiting = False
-        now_ms = self.context.now_ms()
-        rows = wire.pack_rows([row for part in PARTS for row in self.lives.rows(part, now_ms)])
+        rows = self.all_rows(self.context.now_ms())
         if read and self.value is not None and subscriber.serial < self.value.serial:
             subscriber.serial = self.value.serial
             self.board.cast(subscriber.address, wire.FEED, [1, self.value.packed, rows])
         else:
             self.board.cast(subscriber.address, wire.FEED, [0, b"", rows])
 
+    def all_rows(self, now_ms):
+        """All lives as a new subscriber gets them, packed once for those that come within a moment without news between."""
+        made_ms, rows = self.welcoming
+        if rows is None or now_ms - made_ms > self.interval_ms * FEED_SHARE:
+            rows = wire.pack_rows([row for part in PARTS for row in self.lives.rows(part, now_ms)])
+            self.welcoming = now_ms, rows
+        return rows
+
     def my_attached(self):
         """The proxies that this registry feeds, as the directory wants them."""
         return sorted([subscriber.address, subscriber.front, subscriber.zone, subscriber.region, bool(subscriber.ready)]
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -4,9 +4,11 @@
 import pytest
 
 from simworld import Fleet
+from stagevale import wire
 from stagevale.configuration.checking import fingerprint, read_config
 from stagevale.registrations import DRAINING, GONE, READY, Life, Lives
 from stagevale.registrations.calls import Failure, read_beat
+from stagevale.wire.switchboard import Switchboard
 from test_register import config
 
 
@@ -161,6 +163,24 @@
     assert fleet.world.until(lambda: desk.resolve("a1", "a") == ["10.0.1.4:9000"], 1500)
 
 
+def test_a_welcome_is_packed_once_for_a_burst_of_proxies_and_never_misses_news_between(monkeypatch):
+    fleet = formed()
+    for number in range(6):
+        tell(fleet, 0, lambda desk, answer: desk.beat(f"i-{number}", beat_of(f"i-{number}"), answer))
+    fleet.world.run(500)
+    desk, fed, packed = fleet.registries[0].desk, {}, []
+    pack_rows = wire.pack_rows
+    monkeypatch.setattr(Switchboard, "cast", lambda board, peer, kind, body: kind == wire.FEED
+                        and fed.setdefault(peer, []).append({row[0]: row[5] for row in wire.unpack_rows(body[2])}))
+    monkeypatch.setattr(wire, "pack_rows", lambda rows: packed.append(len(rows)) or pack_rows(rows))
+    for number in range(5):
+        desk.on_subscribe(f"10.0.7.{number}:7200", ["10.0.7.1:9000", "a1", "a", True, 10 ** 6, []], None)
+    assert packed == [6] and all(len(rows[0]) == 6 for rows in fed.values())
+    desk.beat("i-3", beat_of("i-3", "draining", 2), lambda status, body: None)
+    desk.on_subscribe("10.0.7.9:7200", ["10.0.7.9:9000", "a1", "a", True, 10 ** 6, []], None)
+    assert fed["10.0.7.9:7200"][-1]["i-3"] == DRAINING
+
+
 def test_proxy_started_again_takes_only_what_a_majority_confirms():
     fleet = formed()
     fleet.world.kill(fleet.proxies[2].context)
