--- a/stagevale/membership/__init__.py
+++ b/stagevale/membership/__init__.py
@@ -309,8 +309,7 @@
             differing = [member for member in live
                          if self.rows.get(member.address, (0, 0, 0))[2] != self.state.mark]
             if differing:
-                inside = [member for member in differing if member.region == self.me.region]
-                targets.add(random.choice(inside or differing).address)
+                targets.add(random.choice(self.nearest(differing) if len(live) > FAR_TELLERS else differing).address)
             deputies = [member for member in self.state.sorted() if member.state in LEADING][1:3]
             names = {member.address for member in deputies}
             if chosen.address not in names and deputies and random.random() < (len(lost) + 0.2) / (len(live) + 1):
@@ -331,6 +330,13 @@
             for address in unknown:
                 self.send_state(address)
 
+    def nearest(self, members):
+        """Those of the own zone among some members, else those of the own region, else all: in a large fleet what differs
+        is told there first, since each region has many who bring it on."""
+        inside = [member for member in members if member.region == self.me.region]
+        beside = [member for member in inside if member.zone == self.me.zone]
+        return beside or inside or members
+
     def far_share(self, live):
         """How often a proxy's round goes beyond its own zone: in a large fleet the far talk of all proxies together
         stays what a dozen of them have, and the core carries their heartbeats on."""
--- a/stagevale/registrations/desk.py
+++ b/stagevale/registrations/desk.py
@@ -444,6 +444,7 @@
         settings = self.context.settings
         self.lives.forget(now_ms - settings.bounds.contact_ms * 10, now_ms - settings.bounds.contact_ms * 60)
         serial = self.value.serial if self.value else -1
+        self.announce_now()
         ping = [serial, [self.lives.mark_of_all()], self.attached_mark(self.my_attached())]
         if self.true_time is not None:
             ping.append(int(self.context.wall_ms()))
@@ -903,6 +904,8 @@
 
     def announce_now(self):
         proxies, self.unannounced = self.unannounced, set()
+        if not proxies:
+            return
         known = {row[0]: row for row in self.my_attached()}
         news = [known.get(proxy, [proxy]) for proxy in sorted(proxies)]
         for member in self.registries():
