--- a/stagevale/balancing/__init__.py
+++ b/stagevale/balancing/__init__.py
@@ -13,13 +13,14 @@
 SILENCE_EXPECTED = 2.0
 QUEUE_FACTOR = 2.0
 KEEP_COST = 0.7
+USUAL_WEIGHT = 0.15
 
 
 class Target:
     """One life of an endpoint as this proxy uses it: what is told of it and what was learned by use."""
 
     __slots__ = ("id", "service", "address", "zone", "region", "slots", "state", "healthy", "cold_seq", "cold_until_ms",
-                 "outstanding", "idle", "open", "speed", "others", "others_ms", "eject_until_ms", "failures", "cold_sent",
+                 "outstanding", "idle", "open", "speed", "others", "others_ms", "usual_others", "times_told", "eject_until_ms", "failures", "cold_sent",
                  "gone", "silent_since_ms", "answered_ms", "agreed_of", "agreed", "software")
 
     def __init__(self, id, service, address, zone, region, slots, software=""):
@@ -39,6 +40,8 @@
         self.speed = 1.0
         self.others = 0.0
         self.others_ms = 0.0
+        self.usual_others = 0.0
+        self.times_told = 0
         self.eject_until_ms = 0.0
         self.failures = 0
         self.cold_sent = []
@@ -65,14 +68,17 @@
         return now_ms - self.silent_since_ms if self.outstanding > 0 else 0.0
 
     def load(self, now_ms):
-        """Requests thought to be at the endpoint now: this proxy's and, fading, what others had there."""
-        age_ms = now_ms - self.others_ms
-        return self.outstanding + (self.others * max(0.0, 1.0 - age_ms / 1500.0) if self.others else 0.0)
+        """Requests thought to be at the endpoint now: this proxy's and what others had there, which fades to what they
+        usually have there: a proxy of a large fleet hears of an endpoint only every few seconds."""
+        fresh = max(0.0, 1.0 - (now_ms - self.others_ms) / 1500.0)
+        return self.outstanding + self.others * fresh + self.usual_others * (1.0 - fresh)
 
     def told(self, running, waiting, now_ms):
         """Takes in a `Server-Load`."""
         self.others = max(0.0, running + waiting - self.outstanding)
         self.others_ms = now_ms
+        self.times_told += 1
+        self.usual_others += max(USUAL_WEIGHT, 1.0 / (self.times_told + 1)) * (self.others - self.usual_others)
 
     def failed(self, now_ms, base_ms, warmup_ms, outage):
         """Notes passive evidence against the endpoint: it rests for a while, and may come back cold."""
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -331,3 +331,21 @@
     client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(450)
     assert client.statuses() == ["200"] and len(lit.heads) == 1
+
+
+def test_an_endpoint_that_others_keep_busy_counts_as_busy_when_word_of_it_is_old():
+    """A proxy that heard of an endpoint every few seconds took it for idle in between, as did all the others."""
+    scene = Scene()
+    busy, calm = (scene.endpoint(lambda e, fields, body, load=load: good(e, fields, body, extra=b"Server-Load: " + load + b"\r\n"))
+                  for load in (b"3,1,3", b"1,0,3"))
+    for number in range(40):
+        scene.client(request(id=str(number)))
+        scene.world.run(100)
+    scene.world.run(6000)
+    loads = [scene.proxy.targets[endpoint.id].load(scene.world.env.now) for endpoint in (busy, calm)]
+    assert loads[0] > loads[1] > 0
+    before = len(busy.heads), len(calm.heads)
+    for number in range(12):
+        scene.client(request(id=f"a{number}"))
+        scene.world.run(30)
+    assert len(calm.heads) - before[1] > len(busy.heads) - before[0]
