--- a/stagevale/balancing/__init__.py
+++ b/stagevale/balancing/__init__.py
@@ -171,7 +171,7 @@
         return target.agreed
 
     def choose(self, request, snapshot, now_ms):
-        """The target for a request, or None; sets how long the best would take in `request.expectedMs`. Under a rollout a request of
+        """The target for a request, or None; sets how long the best would take in `request.expected_ms`. Under a rollout a request of
         the new side that finds none there goes to the stable one."""
         rollout = snapshot.rollouts.get(request.service) if snapshot.rollouts else None
         targets = snapshot.targets.get(request.service, ())
--- a/stagevale/balancing/policies.py
+++ b/stagevale/balancing/policies.py
@@ -68,7 +68,7 @@
 
 
 def load_policy(path, log):
-    """The policy in a file; raises PolicyProblem with the file's name."""
+    """The policy in a file; raises PolicyFailure with the file's name."""
     try:
         with open(path, encoding="utf-8") as file:
             source = file.read(64 * 1024)
--- a/stagevale/configuration/checking.py
+++ b/stagevale/configuration/checking.py
@@ -94,7 +94,7 @@
 
 
 def read_config(text, regions=()) -> Result:
-    """The text of a configuration as Ok(table with numbers for versions), or Error(ConfigProblem).
+    """The text of a configuration as Ok(table with numbers for versions), or Error(ConfigFailure).
 
     `regions` are those that tenants may have for homes; without them homes are not checked.
     """
--- a/stagevale/configuration/keeping.py
+++ b/stagevale/configuration/keeping.py
@@ -287,13 +287,13 @@
         self.busy = True
         self.context.log.info("%s: won the %s duty, round %d, version %d.", self.prefix, self.duty, ballot[0],
                               value.serial)
-        self.accept(value, self.claimed(value), lambda chosen: self.pump())
+        self.accept(value, self.taken_over(value), lambda chosen: self.pump())
 
     def first_value(self):
         """What the register holds before anything was chosen."""
         return Value(0, 0, "", (), self.seed_stores, {})
 
-    def claimed(self, value):
+    def taken_over(self, value):
         """What a new owner has accepted first: the value that it found."""
         return value
 
--- a/stagevale/context/__init__.py
+++ b/stagevale/context/__init__.py
@@ -99,7 +99,7 @@
 
 
 def tune_socket(sock, silence_ms):
-    """Makes a connection notice within `silenceMs` that its other end is gone."""
+    """Makes a connection notice within `silence_ms` that its other end is gone."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for level, option, value in (
             (socket.IPPROTO_TCP, getattr(socket, "TCP_USER_TIMEOUT", 18), int(silence_ms)),
--- a/stagevale/duties/keeping.py
+++ b/stagevale/duties/keeping.py
@@ -92,7 +92,7 @@
         """Nobody holds the duty, and no window was chosen."""
         return DutyValue(0, 0, "", self.seed_stores, (), 0)
 
-    def claimed(self, value):
+    def taken_over(self, value):
         """The new holder under a fence that was never given before."""
         return value.after(fence=value.fence + 1, holder=self.context.settings.name)
 
--- a/stagevale/forwarding/__init__.py
+++ b/stagevale/forwarding/__init__.py
@@ -219,7 +219,7 @@
             self.offer(request)
 
     def offer(self, request):
-        """Sends a request to the best endpoint, has it wait for one, or refuses it while shedding still is early."""
+        """Sends a request to the best endpoint, has it wait for one, or refuses it while refusing still is early."""
         now_ms = self.context.now_ms()
         if not self.may_offer(request):
             return
--- a/stagevale/membership/__init__.py
+++ b/stagevale/membership/__init__.py
@@ -403,7 +403,7 @@
         return packed
 
     def send_state(self, address, base=None, base_mark=0):
-        """Sends the state: what the holder of the clock `base`, known to it by `baseMark`, lacks. The whole goes to one
+        """Sends the state: what the holder of the clock `base`, known to it by `base_mark`, lacks. The whole goes to one
         without a base, and where the clocks say that nothing is lacking though the marks differ; but once a round."""
         packed = self.packed_state(base, base_mark)
         if not base or not packed:
--- a/stagevale/partners/checking.py
+++ b/stagevale/partners/checking.py
@@ -32,7 +32,7 @@
 
 
 def read_offer(partner, text, config, offers, zones) -> Result:
-    """The text of an offer as Ok(table), or Error(ConfigProblem) with the field that is wrong."""
+    """The text of an offer as Ok(table), or Error(ConfigFailure) with the field that is wrong."""
     if not NAME.match(partner):
         return Error(ConfigFailure(400, "partner: want a name of letters, digits, dots, dashes"))
     try:
--- a/stagevale/registrations/calls.py
+++ b/stagevale/registrations/calls.py
@@ -120,7 +120,7 @@
 
 
 def read_beat(body):
-    """The body of a heartbeat as a table, or a Problem."""
+    """The body of a heartbeat as a table, or a Failure."""
     try:
         table = json.loads(body)
     except (ValueError, RecursionError):
--- a/stagevale/registrations/desk.py
+++ b/stagevale/registrations/desk.py
@@ -43,7 +43,7 @@
     __slots__ = ("context", "board", "membership", "lives", "value", "value_heard_ms", "subscribers", "attached",
                  "ping_heard_ms", "voter", "owners", "rounds", "life", "heard_ids", "pulling", "interval_ms", "ports",
                  "started_ms", "stopping", "moves_running", "round_no", "disk", "saved_mark", "saving", "true_time", "ledger",
-                 "duties", "unfed", "feeding", "unannounced", "welcoming", "claimants", "confirming", "partners", "sessions", "open_log",
+                 "duties", "unfed", "feeding", "unannounced", "welcoming", "lease_askers", "confirming", "partners", "sessions", "open_log",
                  "outcomes")
 
     def __init__(self, context, board, membership):
@@ -75,7 +75,7 @@
         self.feeding = False
         self.unannounced = set()
         self.welcoming = 0.0, None
-        self.claimants = []
+        self.lease_askers = []
         self.outcomes = {}
         self.confirming = False
         self.partners = NO_TABLE
@@ -691,15 +691,15 @@
     def on_lease_wanted(self, peer, body, reply):
         """A proxy asks whether its table is the newest: one question to the register serves all that asked before it."""
         ask_no, *told = body
-        self.claimants.append((peer, ask_no))
+        self.lease_askers.append((peer, ask_no))
         if told:
             self.outcomes[peer] = [peer, *told]
         self.ask_newest()
 
     def ask_newest(self):
-        if self.confirming or not self.claimants:
+        if self.confirming or not self.lease_askers:
             return
-        asking, self.claimants = self.claimants, []
+        asking, self.lease_askers = self.lease_askers, []
         outcomes, self.outcomes = list(self.outcomes.values()), {}
         self.confirming = True
 
--- a/stagevale/rollouts/checking.py
+++ b/stagevale/rollouts/checking.py
@@ -23,7 +23,7 @@
 
 
 def read_rollout(text) -> Result:
-    """The text of a rollout as Ok(table), or Error(ConfigProblem) with the field that is wrong."""
+    """The text of a rollout as Ok(table), or Error(ConfigFailure) with the field that is wrong."""
     try:
         table = json.loads(text)
     except (ValueError, RecursionError) as failure:
--- a/stagevale/settings/__init__.py
+++ b/stagevale/settings/__init__.py
@@ -51,7 +51,7 @@
 
 
 def split_address(text, field):
-    """Takes `ip:port` apart; a wrong one is a SettingsProblem that names the field."""
+    """Takes `ip:port` apart; a wrong one is a SettingsFailure that names the field."""
     ip, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not port.isdigit() or not 0 < int(port) < 65536 or ip.count(".") != 3:
         raise SettingsFailure(f"{field}: want ip:port, got {text!r}")
@@ -67,7 +67,7 @@
 
 
 def read_settings(text):
-    """Checks the text of a settings file and returns Settings, or raises SettingsProblem."""
+    """Checks the text of a settings file and returns Settings, or raises SettingsFailure."""
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as failure:
--- a/stagevale/wire/__init__.py
+++ b/stagevale/wire/__init__.py
@@ -65,7 +65,7 @@
 
 
 def unpack(data, step, peer):
-    """Bytes as a message: a list that begins with its kind. Raises WireProblem for anything else."""
+    """Bytes as a message: a list that begins with its kind. Raises WireFailure for anything else."""
     try:
         message = plain(flexbuffers.Loads(data))
     except Exception as failure:
@@ -95,7 +95,7 @@
 
 
 def unpack_rows(data):
-    """The rows that `packRows` was given."""
+    """The rows that `pack_rows` was given."""
     try:
         return json.loads(unsqueeze(data) if data[:1] == b"x" else data) if data else []
     except ValueError as failure:
