--- a/stagevale/balancing/__init__.py
+++ b/stagevale/balancing/__init__.py
@@ -3,6 +3,7 @@
 import zlib
 
 from stagevale.registrations import READY
+from stagevale.rollouts import NEW, PAUSED, SHIFTING, STABLE
 
 COLD_PROXIES = 2
 ZONE_COST = 0.1
@@ -172,16 +173,19 @@
 
     def choose(self, request, snapshot, now_ms):
         """The target for a request, or None; sets how long the best would take in `request.expected_ms`. Under a rollout a request of
-        the new side that finds none there goes to the stable one."""
+        the new side that finds none there, or that is tried again while the new version is on trial, goes to the stable one."""
         rollout = snapshot.rollouts.get(request.service) if snapshot.rollouts else None
         targets = snapshot.targets.get(request.service, ())
         if rollout is None:
             return self.choose_steered(targets, request, snapshot, now_ms)
-        if self.lease.holds(now_ms) and rollout.side(request.split_key()):
-            target = self.choose_steered([t for t in targets if rollout.allows(1, t.software)], request, snapshot, now_ms)
+        sides = [NEW, STABLE] if self.lease.holds(now_ms) and rollout.side(request.split_key()) else [STABLE]
+        if request.tried and rollout.state in (SHIFTING, PAUSED):
+            sides.reverse()
+        for side in sides:
+            target = self.choose_steered([t for t in targets if rollout.allows(side, t.software)], request, snapshot, now_ms)
             if target is not None:
                 return target
-        return self.choose_steered([t for t in targets if rollout.allows(0, t.software)], request, snapshot, now_ms)
+        return None
 
     def choose_steered(self, targets, request, snapshot, now_ms):
         """Where steering is on, the best target of the region that the request is steered to, if it has a free slot; else
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings, strategies as st
 
 from simworld import Fleet
-from standins import Endpoint, client_at, good, request
+from standins import Endpoint, Scene, client_at, good, request
 from stagevale.configuration.keeping import Keeper
 from stagevale.configuration.orders import MOVE_ROLLOUT, START_ROLLOUT, decide
 from stagevale.configuration.value import Value, read_value
@@ -87,6 +87,27 @@
         assert rollout(state=FALLEN).side(key) == 0
 
 
+@pytest.mark.parametrize("state, new_tries", [(SHIFTING, 1), (DONE, 2)])
+def test_a_lookup_that_the_new_version_fails_is_tried_again_at_the_stable_one_and_a_crate_is_not(state, new_tries):
+    """While it is on trial: a second try at the same failing version lost answers of routes with two attempts."""
+    def fails(endpoint, fields, body):
+        endpoint.ran.append(fields[b"attempt-id"].decode())
+        return b"HTTP/1.1 500 X\r\nAttempt-Id: " + fields[b"attempt-id"] + b"\r\nServer-Seal: z\r\nContent-Length: 0\r\n\r\n"
+    scene = Scene(routes=CONFIG["routes"])
+    endpoints = [Endpoint(scene.world, number, rule, software=software)
+                 for number, (rule, software) in enumerate([(good, "v1"), (fails, "v2"), (fails, "v2")], 1)]
+    for endpoint in endpoints:
+        scene.tell(endpoint.life())
+    scene.snapshot(scene.value.after(rollouts={"s": rollout(steps=[1.0], state=state).text()}))
+    scene.proxy.forwarder.lease.until_ms = 1e9
+    scene.world.run(9000)
+    clients = [scene.client(request(id="look")), scene.client(request("/e/x", id="crate", method="POST", body=b"c"))]
+    scene.world.run(1400)
+    assert [client.statuses() for client in clients] == [["200"], ["500"]]
+    assert [endpoint.ran.count("crate") for endpoint in endpoints].count(1) == 1 and "crate" not in endpoints[0].ran
+    assert [sum(endpoint.ran.count("look") for endpoint in some) for some in (endpoints[:1], endpoints[1:])] == [1, new_tries]
+
+
 def told(address, zone, old, new, step=0, life=None):
     return [address, life or address, [["s", 1, step, zone, 0, *old], ["s", 1, step, zone, 1, *new]]]
 
