--- a/stagevale/balancing/__init__.py
+++ b/stagevale/balancing/__init__.py
@@ -15,6 +15,8 @@
 QUEUE_FACTOR = 2.0
 KEEP_COST = 0.7
 USUAL_WEIGHT = 0.15
+OTHERS_MS = 1500.0
+USUAL_FADES = 10.0
 
 
 class Target:
@@ -70,9 +72,12 @@
 
     def load(self, now_ms):
         """Requests thought to be at the endpoint now: this proxy's and what others had there, which fades to what they
-        usually have there: a proxy of a large fleet hears of an endpoint only every few seconds."""
-        fresh = max(0.0, 1.0 - (now_ms - self.others_ms) / 1500.0)
-        return self.outstanding + self.others * fresh + self.usual_others * (1.0 - fresh)
+        usually have there, since a proxy of a large fleet hears of an endpoint only every few seconds; and that, more
+        slowly, to none, so that one that was busy is tried again."""
+        age_ms = now_ms - self.others_ms
+        fresh = max(0.0, 1.0 - age_ms / OTHERS_MS)
+        usual = self.usual_others * max(0.0, 1.0 - age_ms / (OTHERS_MS * USUAL_FADES))
+        return self.outstanding + self.others * fresh + usual * (1.0 - fresh)
 
     def told(self, running, waiting, now_ms):
         """Takes in a `Server-Load`."""
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -344,6 +344,7 @@
     scene.world.run(6000)
     loads = [scene.proxy.targets[endpoint.id].load(scene.world.env.now) for endpoint in (busy, calm)]
     assert loads[0] > loads[1] > 0
+    assert scene.proxy.targets[busy.id].load(scene.world.env.now + 20000) == 0, "one that is not heard of is tried again"
     before = len(busy.heads), len(calm.heads)
     for number in range(12):
         scene.client(request(id=f"a{number}"))
