--- a/stagevale/balancing/__init__.py
+++ b/stagevale/balancing/__init__.py
@@ -23,8 +23,9 @@
     """One life of an endpoint as this proxy uses it: what is told of it and what was learned by use."""
 
     __slots__ = ("id", "service", "address", "zone", "region", "slots", "state", "healthy", "cold_seq", "cold_until_ms",
-                 "outstanding", "idle", "open", "speed", "others", "others_ms", "usual_others", "times_told", "eject_until_ms", "failures", "cold_sent",
-                 "gone", "silent_since_ms", "answered_ms", "agreed_of", "agreed", "software")
+                 "outstanding", "idle", "open", "speed", "others", "others_ms", "usual_others", "times_told",
+                 "eject_until_ms", "failures", "cold_sent", "gone", "silent_since_ms", "answered_ms", "agreed_of", "agreed",
+                 "software")
 
     def __init__(self, id, service, address, zone, region, slots, software=""):
         self.id = id
