--- a/stagevale/configuration/checking.py
+++ b/stagevale/configuration/checking.py
@@ -93,6 +93,19 @@
 }, allow_extra="*")
 
 
+def places_of(failure, place=""):
+    """What a check found, as one `place: why` for each place."""
+    why = failure.error if isinstance(failure, t.DataError) else failure
+    if isinstance(why, dict):
+        return [row for key, inner in why.items() for row in places_of(inner, f"{place}.{key}" if place else str(key))]
+    return [f"{place}: {why}" if place else str(why)]
+
+
+def misshapen(failure):
+    """The 400 for a table that the check refused."""
+    return Error(ConfigFailure(400, "; ".join(places_of(failure))))
+
+
 def read_config(text, regions=()) -> Result:
     """The text of a configuration as Ok(table with numbers for versions), or Error(ConfigFailure).
 
@@ -105,7 +118,7 @@
     try:
         table = CONFIG.check(raw)
     except t.DataError as failure:
-        return Error(ConfigFailure(400, json.dumps(failure.as_dict(), default=str)))
+        return misshapen(failure)
     known = {service["name"] for service in table["services"]}
     places = set()
     for number, route in enumerate(table["routes"]):
--- a/stagevale/partners/checking.py
+++ b/stagevale/partners/checking.py
@@ -5,7 +5,7 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.configuration.checking import ROUTE, ConfigFailure, check_version, fingerprint
+from stagevale.configuration.checking import ROUTE, ConfigFailure, check_version, fingerprint, misshapen
 from stagevale.partners import table_of
 
 NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
@@ -37,10 +37,10 @@
         return Error(ConfigFailure(400, "partner: want a name of letters, digits, dots, dashes"))
     try:
         table = OFFER.check(json.loads(text))
+    except t.DataError as failure:
+        return misshapen(failure)
     except (ValueError, RecursionError) as failure:
         return Error(ConfigFailure(400, f"not JSON: {failure}"))
-    except t.DataError as failure:
-        return Error(ConfigFailure(400, json.dumps(failure.as_dict(), default=str)))
     services = {service["name"] for service in config.get("services", ())}
     places, names = set(), set()
     for number, route in enumerate(table["routes"]):
--- a/stagevale/rollouts/checking.py
+++ b/stagevale/rollouts/checking.py
@@ -4,7 +4,7 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.configuration.checking import ConfigFailure, check_version, fingerprint
+from stagevale.configuration.checking import ConfigFailure, check_version, fingerprint, misshapen
 from stagevale.rollouts import DONE, ENDED, FALLEN, PAUSED, SHIFTING, Rollout
 
 SHARE = t.Float(gt=0.0, lte=1.0)
@@ -31,7 +31,7 @@
     try:
         table = ROLLOUT.check(table)
     except t.DataError as failure:
-        return Error(ConfigFailure(400, json.dumps(failure.as_dict(), default=str)))
+        return misshapen(failure)
     if table["from"] == table["to"]:
         return Error(ConfigFailure(400, "to: the same version as from"))
     steps = table["steps"]
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -313,3 +313,12 @@
     fleet.world.run(3000)
     assert all(proxy.forwarder.lease.ask_number == 0 for proxy in fleet.proxies.values())
     assert not any(registry.desk.partners.rows for registry in fleet.registries.values())
+
+
+def test_an_offer_of_the_wrong_shape_names_the_place_and_is_not_called_unreadable():
+    """The check's own failure is a ValueError too, so that it was told as `not JSON` with the library's words around it."""
+    table = {"version": "r1", "routes": [], "restrictions": [{"name": "n", "host": "h"}]}
+    wrong = read_offer("coop", json.dumps(table), {"services": []}, {}, {}).error
+    assert wrong.status == 400 and "withholds: is required" in wrong.reason
+    assert "not JSON" not in wrong.reason and "DataError" not in wrong.reason
+    assert "not JSON" in read_offer("coop", "{", {"services": []}, {}, {}).error.reason
