--- a/stagevale/configuration/checking.py
+++ b/stagevale/configuration/checking.py
@@ -101,9 +101,14 @@
     return [f"{place}: {why}" if place else str(why)]
 
 
-def misshapen(failure):
-    """The 400 for a table that the check refused."""
-    return Error(ConfigFailure(400, "; ".join(places_of(failure))))
+def read_shape(text, shape) -> Result:
+    """The text as Ok(table) of this shape, or Error(ConfigFailure) with each place that is wrong."""
+    try:
+        return Ok(shape.check(json.loads(text)))
+    except t.DataError as failure:
+        return Error(ConfigFailure(400, "; ".join(places_of(failure))))
+    except (ValueError, RecursionError) as failure:
+        return Error(ConfigFailure(400, f"not JSON: {failure}"))
 
 
 def read_config(text, regions=()) -> Result:
@@ -111,14 +116,10 @@
 
     `regions` are those that tenants may have for homes; without them homes are not checked.
     """
-    try:
-        raw = json.loads(text)
-    except (ValueError, RecursionError) as failure:
-        return Error(ConfigFailure(400, f"not JSON: {failure}"))
-    try:
-        table = CONFIG.check(raw)
-    except t.DataError as failure:
-        return misshapen(failure)
+    shaped = read_shape(text, CONFIG)
+    if shaped.is_error():
+        return shaped
+    table = shaped.ok
     known = {service["name"] for service in table["services"]}
     places = set()
     for number, route in enumerate(table["routes"]):
--- a/stagevale/partners/checking.py
+++ b/stagevale/partners/checking.py
@@ -5,7 +5,7 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.configuration.checking import ROUTE, ConfigFailure, check_version, fingerprint, misshapen
+from stagevale.configuration.checking import ROUTE, ConfigFailure, check_version, fingerprint, read_shape
 from stagevale.partners import table_of
 
 NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
@@ -35,12 +35,10 @@
     """The text of an offer as Ok(table), or Error(ConfigFailure) with the field that is wrong."""
     if not NAME.match(partner):
         return Error(ConfigFailure(400, "partner: want a name of letters, digits, dots, dashes"))
-    try:
-        table = OFFER.check(json.loads(text))
-    except t.DataError as failure:
-        return misshapen(failure)
-    except (ValueError, RecursionError) as failure:
-        return Error(ConfigFailure(400, f"not JSON: {failure}"))
+    shaped = read_shape(text, OFFER)
+    if shaped.is_error():
+        return shaped
+    table = shaped.ok
     services = {service["name"] for service in config.get("services", ())}
     places, names = set(), set()
     for number, route in enumerate(table["routes"]):
--- a/stagevale/rollouts/checking.py
+++ b/stagevale/rollouts/checking.py
@@ -4,7 +4,7 @@
 import trafaret as t
 from expression import Error, Ok, Result
 
-from stagevale.configuration.checking import ConfigFailure, check_version, fingerprint, misshapen
+from stagevale.configuration.checking import ConfigFailure, check_version, fingerprint, read_shape
 from stagevale.rollouts import DONE, ENDED, FALLEN, PAUSED, SHIFTING, Rollout
 
 SHARE = t.Float(gt=0.0, lte=1.0)
@@ -24,14 +24,10 @@
 
 def read_rollout(text) -> Result:
     """The text of a rollout as Ok(table), or Error(ConfigFailure) with the field that is wrong."""
-    try:
-        table = json.loads(text)
-    except (ValueError, RecursionError) as failure:
-        return Error(ConfigFailure(400, f"not JSON: {failure}"))
-    try:
-        table = ROLLOUT.check(table)
-    except t.DataError as failure:
-        return misshapen(failure)
+    shaped = read_shape(text, ROLLOUT)
+    if shaped.is_error():
+        return shaped
+    table = shaped.ok
     if table["from"] == table["to"]:
         return Error(ConfigFailure(400, "to: the same version as from"))
     steps = table["steps"]
