--- a/stagevale/__main__.py
+++ b/stagevale/__main__.py
@@ -4,10 +4,11 @@
 
 import sys
 
-from stagevale.programs.launch import DAEMONS, launch
+from stagevale.daemons.launch import DAEMONS, launch
 
 
-def main():
+def main() -> int:
+    """Runs a daemon or a command; returns the exit code."""
     words = sys.argv[1:]
     if len(words) == 1 and words[0] in DAEMONS:
         return launch(words[0])
--- a/stagevale/balancing/snapshot.py
+++ b/stagevale/balancing/snapshot.py
@@ -2,8 +2,8 @@
 
 import json
 
-from stagevale.partners import NO_TABLE, merged_table
-from stagevale.tenants import read_keys
+from stagevale.partners.table import NO_PARTNERS, merge_offers
+from stagevale.tenants.tenants import read_keys
 
 KEEP_S = 600
 
@@ -118,7 +118,7 @@
         targets,
         proxies,
         keys=None,
-        partners=NO_TABLE,
+        partners=NO_PARTNERS,
         sessions=None,
         rollouts=None,
     ):
@@ -147,7 +147,7 @@
         if row is None:
             return None
         if row.route is None:
-            row.route = Route(row.source)
+            row.route = Route(row.document)
             row.route.partner = row
         return row.route
 
@@ -166,7 +166,7 @@
         """This snapshot with another version of the register's value."""
         rollouts = None
         if value.rollouts:
-            from stagevale.rollouts import read_rollouts
+            from stagevale.rollouts.rollout import read_rollouts
 
             rollouts = read_rollouts(value.rollouts)
         if not value.config:
@@ -189,7 +189,7 @@
             self.targets,
             self.proxies,
             read_keys(table.get("tenants")),
-            merged_table(table, value.offers) if value.offers else NO_TABLE,
+            merge_offers(table, value.offers) if value.offers else NO_PARTNERS,
             value.sessions,
             rollouts,
         )
--- a/stagevale/commands.py
+++ b/stagevale/commands.py
@@ -23,7 +23,7 @@
 @cli.command
 def proxy():
     """Run the proxy: serves front and readiness on an edge machine."""
-    from stagevale.programs.launch import launch
+    from stagevale.daemons.launch import launch
 
     return launch("proxy")
 
@@ -31,7 +31,7 @@
 @cli.command
 def registry():
     """Run the registry: serves control and directory on a core machine."""
-    from stagevale.programs.launch import launch
+    from stagevale.daemons.launch import launch
 
     return launch("registry")
 
@@ -39,7 +39,7 @@
 @cli.command
 def store():
     """Run the store: keeps the configuration on a core machine's disk."""
-    from stagevale.programs.launch import launch
+    from stagevale.daemons.launch import launch
 
     return launch("store")
 
@@ -75,7 +75,7 @@
         print findings as JSON.
     """
     from stagevale import doctoring
-    from stagevale.settings import SettingsFailure, split_address
+    from stagevale.settings.settings import SettingsError, split_address
 
     if not (settings or deploy or config or control):
         return misuse("doctor: name at least one of --settings, --deploy, --config, --control")
@@ -89,7 +89,7 @@
         ):
             if address:
                 split_address(address, name)
-    except SettingsFailure as failure:
+    except SettingsError as failure:
         return misuse(f"doctor: {failure}")
     for name, path in (("--settings", settings), ("--deploy", deploy), ("--config", config)):
         if path:
@@ -131,7 +131,7 @@
     """
     from stagevale import rehearsing
     from stagevale.doctoring import ask
-    from stagevale.settings import Bounds, SettingsFailure, split_address
+    from stagevale.settings.settings import Bounds, SettingsError, split_address
 
     if not 1 <= seconds <= 600:
         return misuse(f"rehearse: --seconds: want 1 to 600, got {seconds}")
@@ -139,7 +139,7 @@
     for address in control:
         try:
             split_address(address, "--control")
-        except SettingsFailure as failure:
+        except SettingsError as failure:
             return misuse(f"rehearse: {failure}")
         status, stand = ask(address, "/v1/stand")
         if status != 200 or not isinstance(stand, dict):
@@ -198,12 +198,12 @@
     answer).
     """
     from stagevale.doctoring import ask
-    from stagevale.settings import SettingsFailure, split_address
+    from stagevale.settings.settings import SettingsError, split_address
 
     for address in control:
         try:
             split_address(address, "--control")
-        except SettingsFailure as failure:
+        except SettingsError as failure:
             return address, None, f"{step}: {failure}"
     for address in control:
         status, answer = ask(address, path, timeout_s, method, body)
@@ -281,13 +281,13 @@
     with the proxies that it feeds. json_ print what was heard as JSON.
     """
     from stagevale.doctoring import ask
-    from stagevale.settings import SettingsFailure, split_address
+    from stagevale.settings.settings import SettingsError, split_address
 
     heard, faults = {}, []
     for address in control:
         try:
             split_address(address, "--control")
-        except SettingsFailure as failure:
+        except SettingsError as failure:
             return misuse(f"partners show: {failure}")
         status, table = ask(address, "/v1/partners", 10.0)
         if status == 200 and isinstance(table, dict):
@@ -501,13 +501,13 @@
     this region. json_ print the rows as JSON.
     """
     from stagevale.doctoring import ask
-    from stagevale.settings import SettingsFailure, split_address
+    from stagevale.settings.settings import SettingsError, split_address
 
     rows, faults = [], []
     for address in control:
         try:
             split_address(address, "--control")
-        except SettingsFailure as failure:
+        except SettingsError as failure:
             return misuse(f"delays: {failure}")
         status, stand = ask(address, "/v1/stand")
         if status != 200 or not isinstance(stand, dict):
--- a/stagevale/configuration/__init__.py
+++ b/stagevale/configuration/__init__.py
@@ -1,1 +1,5 @@
-"""The configuration: what operators order, checked, agreed as one register and kept on disk."""
+"""The configuration: what operators set, how it is checked, and the consensus group that keeps it.
+
+`value.ConfigurationValue` is what is agreed on, `node.ConfigurationNode` a store's part in that,
+`command_handlers` what each command of an operator does to the value.
+"""
--- a/stagevale/configuration/node.py
+++ b/stagevale/configuration/node.py
@@ -1,153 +1,184 @@
-"""The configuration register: a replicated register that carries out the operator's orders."""
-
-from stagevale import wire
-from stagevale.configuration.orders import (
-    MOVE_ROLLOUT,
-    OFFER,
-    READ_ROLLOUTS,
-    SERIAL,
-    START_ROLLOUT,
-    WITHDRAW,
-    decide,
+"""A store's part in the configuration's consensus group: it carries out the operators' commands."""
+
+from typing import Protocol
+
+from stagevale.configuration.command_handlers import (
+    NOT_FOUND,
+    OK,
+    UNAVAILABLE,
+    CommandKind,
+    FindHandler,
+    Outcome,
 )
-from stagevale.configuration.rollout_tending import RolloutTending
-from stagevale.configuration.session_groups import SessionGroups
-from stagevale.configuration.value import Value, read_value
-from stagevale.leases import wait_ms
-from stagevale.register.node import RegisterNode
-from stagevale.register.orders import READ_WHOLE, UNAVAILABLE
+from stagevale.configuration.outstanding_leases import OutstandingLeases
+from stagevale.configuration.value import ConfigurationValue, read_configuration_value
+from stagevale.consensus.commands import READ_VALUE, Command, CommandReply, succeeded
+from stagevale.consensus.node import ConsensusNode
+from stagevale.consensus.vote_storage import VoteStore
+from stagevale.membership.member import Member
+from stagevale.membership.membership import Membership
+from stagevale.quorum.ballot import Ballot
+from stagevale.rpc.kinds import MessageKind
+from stagevale.rpc.transport import RpcTransport
+from stagevale.runtime.context import Context
+
+REGISTRY_PROGRAM = "registry"
+# Commands whose callers wait until leases on what was withdrawn are out of use.
+LEASED_COMMANDS = (CommandKind.OFFER, CommandKind.WITHDRAW_OFFER, CommandKind.MOVE_ROLLOUT)
+# Of these the callers wait whether or not they withdrew anything.
+ALWAYS_LEASED_COMMANDS = (CommandKind.OFFER, CommandKind.WITHDRAW_OFFER)
+
 
-LEASED_ORDERS = (OFFER, WITHDRAW, MOVE_ROLLOUT)
+class SessionGroupTask(Protocol):
+    """The leader's care for session groups; see `sessions.group_manager`."""
 
+    def run(self) -> None:
+        """Starts the next change of the groups, if one is due."""
 
-class OutstandingLeases:
-    """Until when leases may stand that are older than the newest withdrawal."""
 
-    __slots__ = ("context", "narrowed_ms")
+class RolloutTask(Protocol):
+    """The leader's care for rollouts; see `rollouts.manager`."""
 
-    def __init__(self, context):
-        self.context = context
-        self.narrowed_ms = -1e12
+    def schedule(self) -> None:
+        """Has rollouts looked at before the next command."""
 
-    def narrowed(self):
-        """A withdrawal has been chosen now; or this daemon begins to lead, and may have missed one."""
-        self.narrowed_ms = self.context.now_ms()
+    def start_due_change(self) -> bool:
+        """Starts the change of a rollout that is due; True where one is under way."""
 
-    def left_ms(self):
-        """How long a lease may still stand that is older than the newest withdrawal."""
-        until_ms = self.narrowed_ms + wait_ms(self.context.settings.bounds)
-        return int(max(0.0, until_ms - self.context.now_ms())) + 1
+    def record_outcomes(self, payload: str) -> None:
+        """Takes in what proxies report of requests under rollouts."""
 
+    def status(self) -> str:
+        """All rollouts as JSON."""
 
-class ConfigurationNode(RegisterNode):
-    """A store's part in the configuration register."""
 
-    __slots__ = ("leases", "rollouts", "sessions")
+class ConfigurationNode(ConsensusNode[ConfigurationValue]):
+    """A store's part in the configuration's consensus group.
 
-    read_value = staticmethod(read_value)
+    Attributes:
+        leases: leases on what has been withdrawn.
+        sessions: set by the daemon, which knows both packages.
+        rollouts: likewise.
+    """
 
-    def __init__(self, context, switchboard, membership, storage):
-        super().__init__(context, switchboard, membership, storage)
+    __slots__ = ("leases", "find_handler", "sessions", "rollouts")
+
+    sessions: SessionGroupTask
+    rollouts: RolloutTask
+
+    def __init__(
+        self,
+        context: Context,
+        rpc: RpcTransport,
+        membership: Membership,
+        storage: VoteStore[ConfigurationValue],
+        find_handler: FindHandler,
+    ) -> None:
+        super().__init__(context, rpc, membership, storage)
         self.leases = OutstandingLeases(context)
-        self.rollouts = RolloutTending(self)
-        self.sessions = SessionGroups(self)
+        self.find_handler = find_handler
+
+    def read_value(self, encoded: bytes) -> ConfigurationValue:
+        """See `ConsensusNode.read_value`."""
+        return read_configuration_value(encoded)
 
-    def first_value(self):
-        return Value(0, 0, "", (), self.group())
+    def first_value(self) -> ConfigurationValue:
+        """See `ConsensusNode.first_value`."""
+        return ConfigurationValue(0, 0, "", (), self.group())
 
-    def lead(self, ballot, value):
-        self.leases.narrowed()
-        super().lead(ballot, value)
+    def become_leader(self, ballot: Ballot, value: ConfigurationValue) -> None:
+        """See `ConsensusNode.become_leader`."""
+        self.leases.record_withdrawal()
+        super().become_leader(ballot, value)
 
-    def tend(self):
+    def on_leadership_confirmed(self) -> None:
+        """See `ConsensusNode.on_leadership_confirmed`."""
         self.reconfiguration.review()
-        self.sessions.tend()
-        self.rollouts.due = bool(self.chosen is not None and self.chosen.rollouts)
-        self.orders.pump()
-
-    def before_orders(self):
-        return self.rollouts.advance()
-
-    # orders
-
-    def execute(self, order):
-        if order.name == READ_WHOLE:
-            self.finish([order], [200, self.chosen.packed])
-        elif order.name == SERIAL:
-            self.answer_serials(order)
-        elif order.name == READ_ROLLOUTS:
-            self.finish([order], [200, self.rollouts.shown()])
+        self.sessions.run()
+        self.rollouts.schedule()
+        self.commands.process()
+
+    def start_due_change(self) -> bool:
+        """See `ConsensusNode.start_due_change`."""
+        return self.rollouts.start_due_change()
+
+    # commands
+
+    def execute(self, command: Command) -> None:
+        """See `ConsensusNode.execute`."""
+        if self.committed is None:
+            raise RuntimeError("a command before the first committed value")
+        if command.kind == READ_VALUE:
+            self.answer_when_confirmed([command], succeeded(self.committed.encoded))
+        elif command.kind == CommandKind.SERIAL:
+            self._answer_serials(command)
+        elif command.kind == CommandKind.READ_ROLLOUTS:
+            self.answer_when_confirmed([command], succeeded(self.rollouts.status()))
         else:
-            self.decide(order)
+            self._decide(command, self.committed)
 
-    def decide(self, order):
-        """Carries out an order that may change the value; a refusal is confirmed like a read."""
-        before = self.chosen
-        outcome = decide(before, order.name, order.payload, self.context.settings.zones)
+    def _decide(self, command: Command, value: ConfigurationValue) -> None:
+        """Carries out a command that may change the value; where it doesn't, the answer is
+        confirmed like a read.
+        """
+        handler = self.find_handler(command.kind)
+        if handler is None:
+            outcome = Outcome(NOT_FOUND, f"unknown order {command.kind}")
+        else:
+            outcome = handler(value, command.payload, self.context.settings.zones)
         if outcome.value is None:
-            answer = [outcome.status, outcome.text]
-            if order.name in LEASED_ORDERS and outcome.status == 200:
-                answer.append(self.leases.left_ms())
-            self.finish([order], answer)
+            waits = command.kind in LEASED_COMMANDS and outcome.status == OK
+            left_ms = self.leases.left_ms() if waits else None
+            answer = CommandReply(outcome.status, outcome.text, left_ms)
+            self.answer_when_confirmed([command], answer)
             return
-        narrowed = narrows(order.name, before, outcome.value)
-
-        def accepted(chosen):
-            if chosen and narrowed:
-                self.leases.narrowed()
-            order.reply(self.answer_of(order, outcome, chosen, narrowed))
-            self.orders.pump()
-
-        self.accept(outcome.value, accepted)
-
-    def answer_of(self, order, outcome, chosen, narrowed):
-        """The answer to an order whose change was proposed."""
-        if not chosen:
-            return [UNAVAILABLE, "outcome unknown"]
-        answer = [outcome.status, outcome.text]
-        if order.name in (OFFER, WITHDRAW) or (order.name == MOVE_ROLLOUT and narrowed):
-            answer.append(self.leases.left_ms())
-        return answer
-
-    def answer_serials(self, first):
-        """Proxies' questions for leases come from every registry all the time: all that wait are
-        answered by one confirmation, since each was asked before it began.
+
+        def proposed(committed: bool) -> None:
+            if committed and outcome.withdraws:
+                self.leases.record_withdrawal()
+            command.reply(self._answer_to_change(command, outcome, committed))
+            self.commands.process()
+
+        self.propose(outcome.value, proposed)
+
+    def _answer_to_change(
+        self, command: Command, outcome: Outcome, committed: bool
+    ) -> CommandReply:
+        """The answer to a command whose change was proposed."""
+        if not committed:
+            return CommandReply(UNAVAILABLE, "outcome unknown")
+        waits = command.kind in ALWAYS_LEASED_COMMANDS or (
+            command.kind == CommandKind.MOVE_ROLLOUT and outcome.withdraws
+        )
+        left_ms = self.leases.left_ms() if waits else None
+        return CommandReply(outcome.status, outcome.text, left_ms)
+
+    def _answer_serials(self, first: Command) -> None:
+        """Proxies' lease requests come from every registry all the time: all that wait are answered
+        by one confirmation, since each was sent before it began.
         """
-        waiting = self.orders.waiting
-        asking = [first] + [order for order in waiting if order.name == SERIAL]
-        self.orders.waiting = [order for order in waiting if order.name != SERIAL]
-        for order in asking:
-            if order.payload:
-                self.rollouts.take(order.payload)
-        self.finish(asking, [200, str(self.chosen.serial)])
-
-    # spreading
-
-    def publish(self, value):
-        """Brings a chosen value to one registry of each region, which passes it on there; and to
-        core machines that are known but not yet, or no more, members.
+        commands = [first, *self.commands.take_all(CommandKind.SERIAL)]
+        for command in commands:
+            if command.payload:
+                self.rollouts.record_outcomes(command.payload)
+        serial = self.committed.serial if self.committed is not None else 0
+        self.answer_when_confirmed(commands, succeeded(str(serial)))
+
+    # publishing
+
+    def publish(self, value: ConfigurationValue) -> None:
+        """Brings a committed value to one registry of each region, which passes it on there; and
+        to core machines that are known but not yet, or no more, members.
         """
-        regions = {}
-        for member in self.membership.members("registry"):
-            if self.membership.reachable(member.address):
+        regions: dict[str, list[Member]] = {}
+        for member in self.membership.members(REGISTRY_PROGRAM):
+            if self.membership.is_reachable(member.address):
                 regions.setdefault(member.region, []).append(member)
+        own_machine = self.membership.me.machine
         for members in regions.values():
-            members.sort(key=lambda member: member.machine != self.membership.me.machine)
-            rest = [member.address for member in members[1:]]
-            self.switchboard.send(members[0].address, wire.CHOSEN, [value.packed, rest])
+            members.sort(key=lambda member: member.machine != own_machine)
+            first, *rest = [member.address for member in members]
+            self.rpc.send(first, MessageKind.COMMITTED_VALUE, [value.encoded, rest])
         for address in self.acceptor.vote.peers:
             if address not in self.membership.state.members:
-                self.switchboard.send(address, wire.CHOSEN, [value.packed, []])
-
-
-def narrows(order, before, after):
-    """True where an order takes something away that proxies may hold a lease on."""
-    if order in (OFFER, WITHDRAW):
-        from stagevale.partners.checking import narrows as offers_narrow
-
-        return offers_narrow(before, after)
-    if order in (START_ROLLOUT, MOVE_ROLLOUT):
-        from stagevale.rollouts.checking import withdraws
-
-        return withdraws(before, after)
-    return False
+                self.rpc.send(address, MessageKind.COMMITTED_VALUE, [value.encoded, []])
--- a/stagevale/configuration/text_delta.py
+++ b/stagevale/configuration/text_delta.py
@@ -1,52 +1,65 @@
-"""Changes of a long text as runs of its former pieces and new pieces between them."""
+"""Deltas of a long text: runs of pieces it had before, and new pieces between them."""
+
+from typing import Any
 
 SEPARATOR = "},"
 
+# A step of a delta: a new piece, or [first, count] for a run of pieces of the former text.
+Step = str | list[int]
+
 
-def text_delta(before, after):
-    """Steps that make `after` out of `before`: a new piece as text, a run as [first, count].
+def text_delta(before: str, after: str) -> list[Step]:
+    """The steps that make `after` out of `before`.
 
     Pieces lie between one `},` and the next, so that each route of a configuration is one or a few.
     A piece that differs is taken for one that was changed in its place; where the next differs as
-    well, pieces were added, removed or moved, and all former places are looked up.
+    well, pieces were added, removed or moved, and all former positions are looked up.
     """
-    old = before.split(SEPARATOR)
-    places = None
-    steps, at, differed = [], 0, False
+    former = before.split(SEPARATOR)
+    positions: dict[str, int] | None = None
+    steps: list[Step] = []
+    expected, previous_differed = 0, False
     for piece in after.split(SEPARATOR):
-        place = at if at < len(old) and old[at] == piece else None
-        if place is None and differed:
-            if places is None:
-                places = dict(zip(old, range(len(old)), strict=True))
-            place = places.get(piece)
-        differed = place is None
-        if differed:
+        position = None
+        if expected < len(former) and former[expected] == piece:
+            position = expected
+        elif previous_differed:
+            if positions is None:
+                positions = {piece: number for number, piece in enumerate(former)}
+            position = positions.get(piece)
+        previous_differed = position is None
+        if position is None:
             steps.append(piece)
-            at += 1
+            expected += 1
         else:
-            extend_run(steps, place)
-            at = place + 1
+            _extend_run(steps, position)
+            expected = position + 1
     return steps
 
 
-def extend_run(steps, place):
+def _extend_run(steps: list[Step], position: int) -> None:
     """Adds a former piece to the last run, or begins a run with it."""
-    if steps and isinstance(steps[-1], list) and steps[-1][0] + steps[-1][1] == place:
-        steps[-1][1] += 1
+    last = steps[-1] if steps else None
+    if isinstance(last, list) and last[0] + last[1] == position:
+        last[1] += 1
     else:
-        steps.append([place, 1])
+        steps.append([position, 1])
 
 
-def apply_text_delta(before, steps):
-    """The text that the steps make out of `before`. Raises ValueError for steps that don't fit."""
-    old = before.split(SEPARATOR)
-    pieces = []
+def apply_text_delta(before: str, steps: list[Any]) -> str:
+    """The text that the steps make out of `before`.
+
+    Raises:
+        ValueError: the steps don't belong to this text.
+    """
+    former = before.split(SEPARATOR)
+    pieces: list[str] = []
     for step in steps:
         if isinstance(step, str):
             pieces.append(step)
             continue
         first, count = step
-        if not 0 <= first <= first + count <= len(old):
-            raise ValueError(f"a run from {first} over {count} of {len(old)} pieces")
-        pieces += old[first : first + count]
+        if not 0 <= first <= first + count <= len(former):
+            raise ValueError(f"a run from {first} over {count} of {len(former)} pieces")
+        pieces += former[first : first + count]
     return SEPARATOR.join(pieces)
--- /dev/null
+++ b/stagevale/consensus/reconfiguration.py
@@ -0,0 +1,270 @@
+"""Changes of the group: one voter at a time, accepted by majorities of both groups."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Generic, TypeVar
+
+from stagevale.consensus.messages import AcceptReply, LeaveReply, LeaveRequest
+from stagevale.consensus.value import ReplicatedValue
+from stagevale.consensus.voter_id import address_of
+from stagevale.membership.member import Member, MemberState
+from stagevale.rpc.errors import RequestError
+from stagevale.rpc.kinds import MessageKind
+
+if TYPE_CHECKING:
+    from stagevale.consensus.node import ConsensusNode
+
+ValueT = TypeVar("ValueT", bound=ReplicatedValue)
+
+# A voter that was away for this share of `contactMs` is replaced.
+GONE_SHARE = 1.25
+LARGEST_GROUP = 9
+# For how many heartbeat intervals a daemon that left, or didn't answer, isn't invited again.
+AVOID_HEARTBEATS = 2.0
+# In request time-outs: how soon a voter asks again to be removed, and how long it waits for that.
+LEAVE_RETRY_TIMEOUTS = 0.4
+LEAVE_TIMEOUTS = 2
+
+
+class Reconfiguration(Generic[ValueT]):
+    """Decides and carries out the next change of the group, where this daemon leads; and asks the
+    leader to remove this daemon before it shuts down.
+    """
+
+    __slots__ = (
+        "node",
+        "_away_since_ms",
+        "_lost_disks",
+        "_leaving",
+        "_inviting",
+        "_last_change_ms",
+        "_avoid_until_ms",
+    )
+
+    def __init__(self, node: "ConsensusNode[ValueT]") -> None:
+        self.node = node
+        self._away_since_ms: dict[str, float] = {}
+        self._lost_disks: set[str] = set()
+        self._leaving: dict[str, Callable[[LeaveReply], None]] = {}
+        self._inviting = False
+        self._last_change_ms = 0.0
+        self._avoid_until_ms: dict[str, float] = {}
+
+    def reset(self) -> None:
+        """A new leadership begins: nothing is known of anybody."""
+        self._away_since_ms = {}
+        self._lost_disks = set()
+        self._leaving = {}
+        self._inviting = False
+
+    def on_disk_lost(self, voter: str) -> None:
+        """Another disk stands behind a voter's address now: the voter will never answer again."""
+        self._lost_disks.add(voter)
+
+    def on_leave(
+        self, peer: str, request: LeaveRequest, reply: Callable[[LeaveReply], None]
+    ) -> None:
+        """A voter is about to shut down: the group is changed before it does."""
+        node = self.node
+        if node.ballot is None or node.committed is None:
+            reply(LeaveReply(False))
+            return
+        if request.voter not in node.committed.group:
+            reply(LeaveReply(True))
+            return
+        self._leaving[request.voter] = reply
+        self.review()
+
+    def _reply_to_removed(self) -> None:
+        """Tells those that asked to leave and are out of the committed group."""
+        node = self.node
+        group = node.committed.group if node.committed is not None else ()
+        until_ms = node.context.now_ms() + node.heartbeat_ms * AVOID_HEARTBEATS
+        for voter in [voter for voter in self._leaving if voter not in group]:
+            self._leaving.pop(voter)(LeaveReply(True))
+            self._avoid_until_ms[address_of(voter)] = until_ms
+
+    # what to change
+
+    def review(self) -> None:
+        """Starts the next change of the group, if one is due and nothing else is under way."""
+        node = self.node
+        if node.ballot is None or node.committed is None or node.busy or self._inviting:
+            return
+        self._reply_to_removed()
+        now_ms = node.context.now_ms()
+        urgent = bool(self._leaving or self._lost_disks)
+        recently = now_ms - self._last_change_ms < node.heartbeat_ms / 2
+        if not urgent and (node.commands.pending or recently):
+            return
+        self._start_change(node.committed, self._live_members(), now_ms)
+
+    def _start_change(self, value: ValueT, live: list[Member], now_ms: float) -> None:
+        group = value.group
+        departed = self._departed(group, live, now_ms)
+        candidate = self._candidate(group, live, departed, now_ms)
+        wanted = target_size(live)
+        if departed and candidate is not None:
+            self._invite(candidate, departed[0])
+        elif departed:
+            if len(group) > 1 and (len(group) > wanted or departed[0] in self._leaving):
+                self._last_change_ms = now_ms
+                rest = tuple(voter for voter in group if voter != departed[0])
+                self._propose_group(rest, f"{departed[0]} leaves the group")
+        elif candidate is not None and len(group) < wanted:
+            self._invite(candidate, None)
+
+    def _live_members(self) -> list[Member]:
+        """The members that run this program, are reachable and don't leave."""
+        node = self.node
+        return [
+            member
+            for member in node.membership.members(
+                node.program, (MemberState.JOINING, MemberState.UP)
+            )
+            if node.membership.is_reachable(member.address)
+        ]
+
+    def _departed(self, group: tuple[str, ...], live: list[Member], now_ms: float) -> list[str]:
+        """Voters that are to be replaced: those that leave or lost their disk first, then those
+        that have been away for long.
+        """
+        node = self.node
+        present = {member.address for member in live} | {node.address}
+        self._away_since_ms = {
+            voter: self._away_since_ms.get(voter, now_ms)
+            for voter in group
+            if address_of(voter) not in present
+        }
+        self._lost_disks &= set(group)
+        limit_ms = node.context.settings.bounds.contact_ms * GONE_SHARE
+        gone = [
+            voter for voter, since_ms in self._away_since_ms.items() if now_ms - since_ms > limit_ms
+        ]
+        first = [v for v in group if v in self._leaving or v in self._lost_disks]
+        return first + [voter for voter in gone if voter not in first]
+
+    def _candidate(
+        self, group: tuple[str, ...], live: list[Member], departed: list[str], now_ms: float
+    ) -> str | None:
+        """The address of the daemon to be invited next: of the region with the fewest voters, one
+        that did not just fail to answer; or None.
+        """
+        seated = {address_of(voter) for voter in group if voter not in departed}
+        seated |= {
+            address_of(voter)
+            for voter in departed
+            if voter not in self._lost_disks and voter not in self._away_since_ms
+        }
+        voters_in_region: dict[str, int] = {}
+        for member in self.node.membership.state.members.values():
+            if member.address in seated:
+                voters_in_region[member.region] = voters_in_region.get(member.region, 0) + 1
+        able = [
+            member
+            for member in live
+            if member.address not in seated
+            and self._avoid_until_ms.get(member.address, 0.0) <= now_ms
+        ]
+        able.sort(key=lambda member: voters_in_region.get(member.region, 0))
+        return able[0].address if able else None
+
+    # changing
+
+    def _invite(self, address: str, leaver: str | None) -> None:
+        """Brings the committed value to a newcomer's disk first, then proposes the new group."""
+        node = self.node
+        value, ballot = node.committed, node.ballot
+        if value is None or ballot is None:
+            return
+        self._last_change_ms = node.context.now_ms()
+        self._inviting = True
+
+        def replied(_: str, reply: AcceptReply | None) -> None:
+            self._inviting = False
+            if node.ballot != ballot or node.committed is None:
+                return
+            if reply is None or not reply.granted:
+                self._on_invitation_failed(address, reply)
+                return
+            if node.busy or node.committed.group != value.group:
+                return
+            rest = tuple(voter for voter in value.group if voter != leaver)
+            reason = f"{reply.voter} joins the group" + (f" for {leaver}" if leaver else "")
+            self._propose_group((*rest, reply.voter), reason, reply.voter)
+
+        node.replication.send_value("", address, None, value, replied)
+
+    def _on_invitation_failed(self, address: str, reply: AcceptReply | None) -> None:
+        node = self.node
+        ballot = node.leading_ballot()
+        self._avoid_until_ms[address] = node.context.now_ms() + node.heartbeat_ms * AVOID_HEARTBEATS
+        if reply is not None and reply.promised > ballot:
+            node.replication.on_superseded(ballot, address, reply.promised)
+            node.election.campaign()
+
+    def _propose_group(
+        self, group: tuple[str, ...], reason: str, newcomer: str | None = None
+    ) -> None:
+        """Proposes a group; majorities of the one before and of this one have to accept."""
+        node = self.node
+        if node.committed is None:
+            return
+        node.busy = True
+        node.context.log.info("%s: %s.", node.log_prefix, reason)
+
+        def done(committed: bool) -> None:
+            if committed:
+                self._reply_to_removed()
+            node.commands.process()
+
+        node.replication.propose(node.committed, node.committed.with_group(group), done, newcomer)
+
+    # leaving
+
+    def leave(self, on_left: Callable[[], object]) -> None:
+        """Gives up the leadership and has this voter removed, before a graceful shutdown.
+
+        Args:
+            on_left: called once the group is without this voter, at once where it has no vote.
+        """
+        node = self.node
+        voter = node.acceptor.vote.voter
+        if node.ballot is not None:
+            node.election.resign()
+        if voter not in node.group():
+            on_left()
+            return
+        retry_ms = node.request_timeout_ms * LEAVE_RETRY_TIMEOUTS
+
+        def replied(reply: LeaveReply | None, _error: RequestError | None) -> None:
+            if reply is not None and reply.removed:
+                on_left()
+            else:
+                node.context.call_later(retry_ms, request_removal)
+
+        def request_removal() -> None:
+            leader = node.election.leader_address()
+            if leader is None or leader == node.address:
+                node.commands.find_leader(
+                    lambda: node.context.call_later(retry_ms, request_removal)
+                )
+                return
+            timeout_ms = node.request_timeout_ms * LEAVE_TIMEOUTS
+            node.request(
+                leader,
+                MessageKind.LEAVE_GROUP,
+                LeaveRequest(voter),
+                LeaveReply,
+                replied,
+                timeout_ms,
+            )
+
+        request_removal()
+
+
+def target_size(live: list[Member]) -> int:
+    """The largest odd group that the live machines can man: it bears any loss that leaves more
+    than half of them.
+    """
+    machines = len({member.machine for member in live})
+    return min(LARGEST_GROUP, 2 * ((max(machines, 1) - 1) // 2) + 1)
--- /dev/null
+++ b/stagevale/consensus/voter_id.py
@@ -0,0 +1,26 @@
+"""Identities of voters: an address, and which disk stands behind it."""
+
+import random
+from collections.abc import Iterable
+
+SEPARATOR = "~"
+DISK_ID_BITS = 32
+
+
+def address_of(voter: str) -> str:
+    """The address at which a voter is reached."""
+    return voter.partition(SEPARATOR)[0]
+
+
+def addresses_of(voters: Iterable[str]) -> tuple[str, ...]:
+    """The addresses of several voters, in their order."""
+    return tuple(address_of(voter) for voter in voters)
+
+
+def new_voter_id(address: str, random: random.Random) -> str:
+    """The identity of a disk that is empty after the first start of the whole system.
+
+    It differs from the identity of any disk that stood behind this address before, so that nobody
+    takes the votes of this disk for those that the former one gave.
+    """
+    return f"{address}{SEPARATOR}{random.getrandbits(DISK_ID_BITS):08x}"
--- /dev/null
+++ b/stagevale/daemons/__init__.py
@@ -0,0 +1,1 @@
+"""The three daemons: proxy, registry and store."""
--- /dev/null
+++ b/stagevale/daemons/daemon.py
@@ -0,0 +1,127 @@
+"""What the three daemons have in common: peers, membership, settings that change."""
+
+import os
+from collections.abc import Callable
+from typing import NamedTuple
+
+from stagevale.membership.membership import Membership
+from stagevale.placement.rule import next_placement
+from stagevale.rpc.transport import RpcTransport
+from stagevale.runtime.context import Context
+from stagevale.runtime.stall_monitor import StallMonitor
+from stagevale.settings.settings import SettingsError, load_settings
+
+SETTINGS_CHECK_MS = 1000.0
+# A stall counts once it has lasted this share of `ackDeadlineMs`: as long as callers wait.
+STALL_SHARE = 0.25
+
+
+DaemonFactory = Callable[[Context, str], "Daemon"]
+
+
+class FileStamp(NamedTuple):
+    """What tells one content of a file from another."""
+
+    modified_ns: int
+    size: int
+
+
+def stamp_of(path: str) -> FileStamp | None:
+    """The stamp of a file, or None where there is none."""
+    try:
+        stat = os.stat(path)
+    except OSError:
+        return None
+    return FileStamp(stat.st_mtime_ns, stat.st_size)
+
+
+class Daemon:
+    """One running program.
+
+    Attributes:
+        program: its name.
+        settings_path: where its settings are read from.
+        stopping: a graceful shutdown has begun.
+    """
+
+    __slots__ = (
+        "context",
+        "rpc",
+        "membership",
+        "program",
+        "settings_path",
+        "stopping",
+        "_settings_stamp",
+    )
+
+    def __init__(
+        self, context: Context, program: str, port_offset: int, settings_path: str
+    ) -> None:
+        settings = context.settings
+        self.context = context
+        self.program = program
+        self.settings_path = settings_path
+        self.stopping = False
+        self._settings_stamp = stamp_of(settings_path)
+        address = f"{settings.ip}:{settings.inner_ports[0] + port_offset}"
+        front = settings.listen.get("front")
+        self.rpc = RpcTransport(context, address)
+        self.membership = Membership(
+            context, address, program, f"{front[0]}:{front[1]}" if front else ""
+        )
+        self.membership.set_placement_rule(
+            lambda members, table, handoffs: next_placement(
+                members, table, handoffs, context.settings.zones
+            )
+        )
+
+    def start(self) -> None:
+        """Starts the daemon's parts."""
+        self.rpc.start()
+        self.membership.start()
+        self.context.call_later(SETTINGS_CHECK_MS, self._check_settings)
+
+    def watch_stalls(self) -> None:
+        """Has the context notice when this process stood still for as long as callers wait."""
+        limit_ms = self.context.settings.bounds.ack_deadline_ms * STALL_SHARE
+        self.context.stall_monitor = StallMonitor(self.context, limit_ms)
+        self.context.stall_monitor.start()
+
+    # settings
+
+    def _check_settings(self) -> None:
+        """Settings may change without a signal."""
+        self.context.call_later(SETTINGS_CHECK_MS, self._check_settings)
+        if stamp_of(self.settings_path) != self._settings_stamp:
+            self.reload()
+
+    def reload(self) -> None:
+        """Reads the settings again; invalid ones are logged and the old ones stay."""
+        log = self.context.log
+        self._settings_stamp = stamp_of(self.settings_path)
+        try:
+            settings = load_settings(self.settings_path)
+        except SettingsError as error:
+            # An operator's mistake: the trace says nothing.
+            text = "%s: new settings are invalid, the old ones stay: %s."
+            log.error(text, self.program, error)  # noqa: TRY400 - see above
+            return
+        before = self.context.settings
+        if settings.ip != before.ip or settings.inner_ports != before.inner_ports:
+            log.error("%s: new settings move this daemon; that takes a restart.", self.program)
+            return
+        self.context.settings = settings
+        contacts = self.membership.contacts
+        seeds = [f"{ip}:{settings.inner_ports[0]}" for ip in settings.seeds]
+        contacts.extend(seed for seed in seeds if seed not in contacts)
+        log.info("%s: settings read again.", self.program)
+
+    # shutdown
+
+    def stop(self) -> None:
+        """Begins a graceful shutdown; daemons add what is theirs and `finish` in the end."""
+        self.finish()
+
+    def finish(self) -> None:
+        """Ends the process."""
+        self.context.stop()
--- /dev/null
+++ b/stagevale/discovery/registry_service.py
@@ -0,0 +1,306 @@
+"""A registry's service: wires its parts and keeps what they share: contact, placement, rounds."""
+
+from collections.abc import Callable, Mapping
+from typing import Any, Protocol
+
+from stagevale.configuration.value import SessionGroup
+from stagevale.discovery.anti_entropy import AntiEntropy
+from stagevale.discovery.configuration_client import LONG_AGO_MS, ConfigurationClient
+from stagevale.discovery.feeds import Feeds
+from stagevale.discovery.heartbeats import HeartbeatReceiver
+from stagevale.discovery.instance_hints import InstanceHints
+from stagevale.discovery.instance_table import InstanceTable
+from stagevale.discovery.lease_relay import LeaseRelay
+from stagevale.discovery.messages import RECEIVED, FeedHeartbeat, ShardHandoff
+from stagevale.discovery.proxy_directory import ProxyDirectory
+from stagevale.discovery.shard_ownership import ShardOwnership
+from stagevale.membership.gossip_state import Handoff, HandoffStatus
+from stagevale.membership.member import Member, MemberState
+from stagevale.membership.membership import Membership
+from stagevale.placement.shards import SHARDS
+from stagevale.rpc import codec
+from stagevale.rpc.errors import RequestError
+from stagevale.rpc.kinds import MessageKind
+from stagevale.rpc.transport import Reply, RpcTransport
+from stagevale.runtime.context import Context
+from stagevale.storage.generations import GenerationFile
+
+REGISTRY_PROGRAM = "registry"
+LIVE_STATES = (MemberState.JOINING, MemberState.UP, MemberState.LEAVING)
+ROUNDS_PER_CONTACT = 4.0
+# In rounds: how soon after the start the first comes, and how far apart the ticks are.
+FIRST_TICK_SHARE = 0.05
+FIRST_VALUE_SHARE = 0.1
+TICK_SHARE = 0.5
+TICK_JITTER = (0.95, 1.05)
+STARTING_ROUNDS = 2
+# In rounds: how old a registry's last ping may be for it to count towards a majority, and for it
+# to count as live; those of other regions ping half as often, since bytes between regions are dear.
+CONTACT_ROUNDS, CONTACT_ROUNDS_FAR = 1.8, 2.6
+LIVE_ROUNDS, LIVE_ROUNDS_FAR = 1.5, 2.3
+# Instances are forgotten so many times `contactMs` after they left, or were last heard.
+GONE_KEPT, SILENT_KEPT = 10, 60
+
+
+class SessionReplicas(Protocol):
+    """The session records kept here; see `sessions.replica`."""
+
+    def configure(self, groups: Mapping[str, SessionGroup]) -> None:
+        """Takes in the newest session groups."""
+
+    def status(self) -> dict[str, Any]:
+        """Counts for the tools."""
+
+
+class SingletonRole(Protocol):
+    """This registry's part in the platform's singleton roles; see `singleton.node`."""
+
+    def status(self) -> dict[str, Any]:
+        """What this registry knows of the role, for the tools."""
+
+
+class UsageTable(Protocol):
+    """Counts of requests by tenant; see `singleton.usage_table`."""
+
+    def record(self, peer: str, body: Any) -> None:
+        """Takes in a proxy's counts."""
+
+
+class AgreedClock(Protocol):
+    """The core's agreed time; see `singleton.agreed_clock`."""
+
+    def record(self, peer: str, wall_ms: float) -> None:
+        """Takes in another machine's time of day."""
+
+    def now_ms(self) -> float | None:
+        """The agreed time of day; None while it isn't known."""
+
+
+class RegistryService:
+    """Wires what a registry does.
+
+    Attributes:
+        interval_ms: the length of a round.
+        started_ms: when this daemon started.
+        stopping: a graceful shutdown has begun.
+        hints: what is remembered over a restart; None without a disk.
+        agreed_clock, usage, singleton: set where the platform has singleton roles.
+        sessions: the session records kept here; None until there are session groups.
+        make_session_replicas: makes `sessions`; set by the daemon.
+    """
+
+    __slots__ = (
+        "context",
+        "rpc",
+        "membership",
+        "interval_ms",
+        "started_ms",
+        "stopping",
+        "instances",
+        "heartbeats",
+        "shard_ownership",
+        "feeds",
+        "proxies",
+        "anti_entropy",
+        "configuration",
+        "lease_relay",
+        "hints",
+        "agreed_clock",
+        "usage",
+        "singleton",
+        "sessions",
+        "make_session_replicas",
+        "_last_ping_ms",
+        "_ticks",
+        "_handoffs_under_way",
+    )
+
+    def __init__(self, context: Context, rpc: RpcTransport, membership: Membership) -> None:
+        self.context = context
+        self.rpc = rpc
+        self.membership = membership
+        self.interval_ms = context.settings.bounds.contact_ms / ROUNDS_PER_CONTACT
+        self.started_ms = context.now_ms()
+        self.stopping = False
+        self.hints: InstanceHints | None = None
+        self.agreed_clock: AgreedClock | None = None
+        self.usage: UsageTable | None = None
+        self.singleton: SingletonRole | None = None
+        self.sessions: SessionReplicas | None = None
+        self.make_session_replicas: Callable[[], SessionReplicas] | None = None
+        self._last_ping_ms: dict[str, float] = {}
+        self._ticks = 0
+        self._handoffs_under_way: set[tuple[str, str, str]] = set()
+        self.instances = InstanceTable()
+        self.heartbeats = HeartbeatReceiver(self)
+        self.shard_ownership = ShardOwnership(self)
+        self.feeds = Feeds(self)
+        self.proxies = ProxyDirectory(self)
+        self.anti_entropy = AntiEntropy(self)
+        self.configuration = ConfigurationClient(self)
+        self.lease_relay = LeaseRelay(self)
+        rpc.handle(MessageKind.SHARD_HANDOFF, ShardHandoff, self._on_handoff)
+        rpc.handle(MessageKind.USAGE_REPORT, list, self._on_usage_report)
+        membership.add_listener(self._on_membership_changed)
+
+    def start(self) -> None:
+        """Begins the rounds and looks for the configuration value."""
+        self.context.call_later(self.interval_ms * FIRST_TICK_SHARE, self._tick)
+        self.context.call_later(
+            self.interval_ms * FIRST_VALUE_SHARE, self.configuration.pull_first_value
+        )
+
+    def load_hints(self, file: GenerationFile) -> None:
+        """Begins from the instances that this registry knew when it last ran."""
+        self.hints = InstanceHints(self, file)
+        self.hints.load()
+
+    # who is there
+
+    def registries(self) -> list[Member]:
+        """The registries that live, or leave, this one included."""
+        return self.membership.members(REGISTRY_PROGRAM, LIVE_STATES)
+
+    def replicas_of(self, shard: str) -> tuple[str, ...]:
+        """The registries that keep a shard: by the placement table, or the shared seeds before
+        there is one.
+        """
+        replicas = self.membership.state.table.get(shard)
+        if replicas:
+            return replicas
+        settings = self.context.settings
+        return tuple(f"{ip}:{settings.inner_ports[0]}" for ip in settings.seeds)
+
+    def region_of(self, address: str) -> str:
+        """The region of a member; empty where it isn't known."""
+        member = self.membership.state.members.get(address)
+        return member.region if member is not None else ""
+
+    def _core_machines(self) -> set[str]:
+        machines = {member.machine for member in self.registries()}
+        machines.add(self.membership.me.machine)
+        return machines
+
+    def core_size(self) -> int:
+        """How many core machines are thought to live, this one included."""
+        return len(self._core_machines())
+
+    def record_ping(self, peer: str) -> None:
+        """A registry's ping has arrived."""
+        self._last_ping_ms[peer] = self.context.now_ms()
+
+    def reaches_majority(self) -> bool:
+        """True while this registry hears a majority of the core machines, itself included."""
+        machines = self._core_machines()
+        heard = {
+            address.rpartition(":")[0]
+            for address in self._last_ping_ms
+            if self._pinged_within(address, CONTACT_ROUNDS, CONTACT_ROUNDS_FAR)
+        }
+        heard.add(self.membership.me.machine)
+        return len(heard & machines) * 2 > len(machines)
+
+    def is_live(self, address: str) -> bool:
+        """True for a registry whose last ping is not old."""
+        return self._pinged_within(address, LIVE_ROUNDS, LIVE_ROUNDS_FAR)
+
+    def _pinged_within(self, address: str, rounds: float, rounds_far: float) -> bool:
+        near = self.region_of(address) == self.membership.me.region
+        age_ms = self.context.now_ms() - self._last_ping_ms.get(address, LONG_AGO_MS)
+        return age_ms < self.interval_ms * (rounds if near else rounds_far)
+
+    def is_starting(self) -> bool:
+        """True for a while after the start, when silence of the others says nothing yet."""
+        return self.context.now_ms() - self.started_ms < self.interval_ms * STARTING_ROUNDS
+
+    # rounds
+
+    def _tick(self) -> None:
+        jitter = self.context.random.uniform(*TICK_JITTER)
+        self.context.call_later(self.interval_ms * TICK_SHARE * jitter, self._tick)
+        self._ticks += 1
+        whole_round = self._ticks % 2 == 1
+        now_ms = self.context.now_ms()
+        contact_ms = self.context.settings.bounds.contact_ms
+        self.instances.forget(now_ms - contact_ms * GONE_KEPT, now_ms - contact_ms * SILENT_KEPT)
+        self.proxies.send_announcements()
+        self.anti_entropy.ping(self._ping_targets(whole_round))
+        if whole_round:
+            self.heartbeats.report_heartbeats()
+            self.shard_ownership.campaign()
+            self._start_handoffs()
+            if self.hints is not None:
+                self.hints.save()
+        self.shard_ownership.declare_silent_unhealthy()
+        self.feeds.send_heartbeats(self._feed_heartbeat)
+
+    def _ping_targets(self, whole_round: bool) -> list[str]:
+        """The registries to ping: those of other regions once a round only."""
+        return [
+            member.address
+            for member in self.registries()
+            if member.address != self.rpc.address
+            and (whole_round or member.region == self.membership.me.region)
+        ]
+
+    def _feed_heartbeat(self) -> FeedHeartbeat:
+        in_contact = self.reaches_majority() or self.is_starting()
+        agreed_ms = self.agreed_clock.now_ms() if self.agreed_clock is not None else None
+        return FeedHeartbeat(
+            self.configuration.serial,
+            1 if in_contact else 0,
+            int(agreed_ms) if agreed_ms is not None else None,
+        )
+
+    def configure_sessions(self, groups: Mapping[str, SessionGroup]) -> None:
+        """Takes in the newest session groups."""
+        if self.sessions is None:
+            if self.make_session_replicas is None:
+                return
+            self.sessions = self.make_session_replicas()
+        self.sessions.configure(groups)
+
+    def _on_usage_report(self, peer: str, body: list[Any], reply: Reply) -> None:
+        if self.usage is not None:
+            self.usage.record(peer, body)
+
+    # handoffs
+
+    def _on_membership_changed(self) -> None:
+        self.context.call_soon(self._start_handoffs)
+
+    def _start_handoffs(self) -> None:
+        """Hands over the shards that pending handoffs take from this registry, and leaves once
+        nothing is placed on it any more.
+        """
+        for handoff in self.membership.state.handoffs:
+            if (
+                handoff.source == self.rpc.address
+                and handoff.status == HandoffStatus.PENDING
+                and handoff.key() not in self._handoffs_under_way
+            ):
+                self._hand_off(handoff)
+        if self.stopping and not self._keeps_shards():
+            self.membership.exit()
+
+    def _keeps_shards(self) -> bool:
+        table = self.membership.state.table
+        return any(self.rpc.address in table.get(shard, ()) for shard in SHARDS)
+
+    def _hand_off(self, handoff: Handoff) -> None:
+        self._handoffs_under_way.add(handoff.key())
+
+        def replied(reply: int | None, _error: RequestError | None) -> None:
+            self._handoffs_under_way.discard(handoff.key())
+            if reply:
+                self.membership.complete_handoff(handoff)
+
+        rows = codec.encode_rows(self.instances.rows(handoff.shard, self.context.now_ms()))
+        message = ShardHandoff(handoff.shard, rows)
+        self.rpc.request(
+            handoff.target, MessageKind.SHARD_HANDOFF, message, int, replied, self.interval_ms
+        )
+
+    def _on_handoff(self, peer: str, message: ShardHandoff, reply: Reply) -> None:
+        self.heartbeats.take_rows(codec.decode_rows(message.rows), True)
+        reply(RECEIVED)
--- a/stagevale/doctoring/__init__.py
+++ b/stagevale/doctoring/__init__.py
@@ -7,8 +7,8 @@
 import os
 import tomllib
 
-from stagevale.configuration.checking import read_config
-from stagevale.settings import SettingsFailure, load_settings, split_address
+from stagevale.configuration.validation import check_configuration
+from stagevale.settings.settings import SettingsError, load_settings, split_address
 
 DELAYS_APART = 3.0
 
@@ -51,7 +51,7 @@
     """Faults of a settings file."""
     try:
         settings = load_settings(path)
-    except SettingsFailure as failure:
+    except SettingsError as failure:
         return [
             Finding(
                 path,
@@ -168,7 +168,7 @@
             text = file.read()
     except (OSError, UnicodeDecodeError) as failure:
         return [Finding(path, f"can't be read: {failure}", "name a readable file")]
-    checked = read_config(text)
+    checked = check_configuration(text)
     if checked.is_error():
         return [
             Finding(
--- a/stagevale/duties/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Duties at the platform: one holder at a time, and what it reports counted once."""
--- a/stagevale/forwarding/__init__.py
+++ b/stagevale/forwarding/__init__.py
@@ -1,10 +1,10 @@
 """The way of a request: read, routed, offered to an endpoint, answered."""
 
-from stagevale.affinity import ANSWERED, FREE, UNKNOWN
-from stagevale.balancing import Chooser
 from stagevale.balancing.budget import Budget
+from stagevale.balancing.chooser import Chooser
 from stagevale.balancing.snapshot import empty_snapshot
-from stagevale.leases import Lease
+from stagevale.leases.lease import Lease
+from stagevale.sessions.records import KeyState
 
 REFUSE_SHARE = 0.2
 RETRY_SHARE = 0.12
@@ -118,7 +118,7 @@
         "flows",
         "counts",
         "lease",
-        "holdings",
+        "sessions",
         "outcomes",
     )
 
@@ -134,7 +134,7 @@
         self.born_ms = context.now_ms()
         self.running = 0
         self.counts = None
-        self.holdings = None
+        self.sessions = None
         self.lease = self.chooser.lease = Lease(context.settings.bounds)
         self.outcomes = None
         self.make_connection = make_connection
@@ -177,7 +177,7 @@
             self.own(request, 503, "no configuration yet", request.start_ms)
             return
         request.route = snapshot.route(request.host, request.path)
-        if request.route is None and snapshot.partners.rows:
+        if request.route is None and snapshot.partners.routes:
             request.route = self.partner_route(request, snapshot)
         if request.route is None:
             self.own(request, 404, "no route")
@@ -189,8 +189,8 @@
             self.own(request, 401, "no key that is known")
             return
         request.service = request.route.service(self.context.random)
-        if request.route.affinity is not None and self.holdings is not None:
-            wrong = self.holdings.read(request)
+        if request.route.affinity is not None and self.sessions is not None:
+            wrong = self.sessions.read(request)
             if wrong:
                 self.own(request, 400, wrong)
                 return
@@ -260,7 +260,7 @@
                     )
                     return False
                 request.route = route
-            if not self.lease.holds(self.context.now_ms()):
+            if not self.lease.is_held(self.context.now_ms()):
                 self.give_back(request, "partner routes wait for word from the core")
                 return False
         if request.checked_for != snapshot.serial and not self.admit(request, snapshot):
@@ -288,7 +288,7 @@
         rollout = self.snapshot.rollouts.get(target.service) if self.snapshot.rollouts else None
         if rollout is not None:
             if self.outcomes is None:
-                from stagevale.rollouts import Outcomes
+                from stagevale.rollouts.outcomes import Outcomes
 
                 self.outcomes = Outcomes()
             late = self.context.now_ms() - request.start_ms > request.route.target_ms
@@ -304,11 +304,11 @@
         """Starts a request that has been read: a timer for its deadline, then the first offer."""
         request.begun = True
         self.running += 1
-        request.timer = self.context.after(
+        request.timer = self.context.call_later(
             max(1.0, request.deadline_ms - self.context.now_ms()), self.cut_off, request
         )
         if request.note is not None:
-            self.holdings.carry(request)
+            self.sessions.start(request)
         else:
             self.offer(request)
 
@@ -336,7 +336,7 @@
             queue = self.waiting.setdefault(request.service, [])
             queue.append(request)
             queue.sort(key=lambda waiting: (waiting.priority, waiting.start_ms))
-            self.context.after(patience_ms + 1, self.tired, request)
+            self.context.call_later(patience_ms + 1, self.tired, request)
             return
         self.offer_to(request, target, now_ms)
 
@@ -407,7 +407,7 @@
             and request.window is None
             and not request.route.cacheable
         ):
-            request.window = self.counts.began(
+            request.window = self.counts.count(
                 request.tenant.name, request.sent_ms + self.chooser.way_ms(target)
             )
         flow = self.flows.setdefault((request.route.name, request.service), {})
@@ -420,14 +420,14 @@
                 wait_ms = max(
                     request.expected_ms * HEDGE_EXPECTED, request.route.target_ms * HEDGE_SHARE
                 )
-                self.context.after(wait_ms, self.hedge, request, target, request.sent_ms)
+                self.context.call_later(wait_ms, self.hedge, request, target, request.sent_ms)
 
     def release(self, request, target):
         target.gave(self.context.now_ms())
         request.carriers = [
             connection for connection in request.carriers if connection.target is not target
         ]
-        self.context.soon(self.pump, target.service)
+        self.context.call_soon(self.pump, target.service)
 
     def unoffered(self, request, target):
         """The request was answered at the last moment before its first byte would have gone out."""
@@ -462,7 +462,7 @@
         now_ms = self.context.now_ms()
         target.failed(now_ms, self.context.settings.bounds.contact_ms / 10.0, 0, False)
         if request.answer is not None:
-            self.unheard(request, UNKNOWN)
+            self.unheard(request, KeyState.UNKNOWN)
             return
         request.ran = True
         if request.carriers:
@@ -500,10 +500,10 @@
         not_run = b"not-run" in answer.fields or status == 421
         if request.answer is not None:
             if not_run or b"server-seal" not in answer.fields and 200 <= status < 300:
-                self.unheard(request, FREE if not_run else UNKNOWN)
+                self.unheard(request, KeyState.NOT_RUN if not_run else KeyState.UNKNOWN)
             else:
                 self.unheard(
-                    request, ANSWERED, (status, answer.reason, answer.headers, answer.body)
+                    request, KeyState.ANSWERED, (status, answer.reason, answer.headers, answer.body)
                 )
             return
         target.answered_ms = now_ms
@@ -542,9 +542,9 @@
                 return
             target.served()
             if request.session is not None:
-                self.holdings.pin(request.session, request.service, target.id)
+                self.sessions.pin(request.session, request.service, target.id)
             if self.counts is not None and request.tenant is not None and request.route.cacheable:
-                self.counts.began(request.tenant.name, now_ms)
+                self.counts.count(request.tenant.name, now_ms)
             if self.chooser.steering is not None:
                 self.chooser.steering.answered(
                     target.service,
@@ -611,7 +611,7 @@
         """The request's time is over: its endpoint, if any, is no longer waited for."""
         if request.answer is not None:
             self.drop(request)
-            self.unheard(request, UNKNOWN if request.offered else FREE)
+            self.unheard(request, KeyState.UNKNOWN if request.offered else KeyState.NOT_RUN)
             return
         if request.note is not None and not request.offered:
             first = request.note.first
@@ -644,7 +644,7 @@
                     self.tally(request, carrier.target, True)
                 carrier.give_up()
                 carrier.target.outstanding -= 1
-                self.context.soon(self.pump, carrier.target.service)
+                self.context.call_soon(self.pump, carrier.target.service)
 
     def abandon(self, request):
         """The client has gone: a repeatable request ends; another ends too while nothing of it was
@@ -671,7 +671,7 @@
         of it.
         """
         if request.note is not None:
-            self.holdings.conclude(request, state, answer)
+            self.sessions.finish_unanswered(request, state, answer)
 
     def finish(self, request, answer):
         """Sets the request's answer and has its connection write what is due; a noted request's end
@@ -681,10 +681,10 @@
             return
         if (
             request.note is not None
-            and not request.note.settled
-            and self.holdings.live.get((request.note.session, request.note.key)) is request
+            and not request.note.recorded
+            and self.sessions.is_live(request)
         ):
-            self.holdings.settle(request, answer, lambda ending: self.finish(request, ending))
+            self.sessions.settle(request, answer, lambda ending: self.finish(request, ending))
             return
         request.answer = answer
         if request.timer is not None and not request.carriers:
--- a/stagevale/forwarding/client.py
+++ b/stagevale/forwarding/client.py
@@ -66,7 +66,7 @@
     def watch(self, delay_ms):
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.forwarder.context.after(delay_ms, self.too_slow)
+        self.timer = self.forwarder.context.call_later(delay_ms, self.too_slow)
 
     def too_slow(self):
         self.timer = None
--- a/stagevale/forwarding/endpoint.py
+++ b/stagevale/forwarding/endpoint.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from stagevale import wire
+from stagevale.rpc import codec
 
 HOP_HEADERS = frozenset(
     (
@@ -84,7 +84,7 @@
         self.target.open += 1
         silence_ms = self.forwarder.context.settings.bounds.contact_ms / 14.0
         self.forwarder.context.connect(
-            wire.pair(self.target.address),
+            codec.socket_address(self.target.address),
             self,
             self.not_opened,
             silence_ms,
@@ -271,7 +271,7 @@
             self.close()
             return
         self.target.idle.append(self)
-        self.timer = self.forwarder.context.after(self.keep_ms, self.close)
+        self.timer = self.forwarder.context.call_later(self.keep_ms, self.close)
 
     def fail(self, why):
         request, self.request = self.request, None
--- a/stagevale/membership/downing.py
+++ b/stagevale/membership/downing.py
@@ -1,54 +1,67 @@
-"""Downing: what a majority of the core machines finds unreachable is marked down, later removed."""
+"""Downing: members that a majority of the core can't reach are marked down, later removed.
 
-from stagevale.membership.state import COUNTED, DOWN, REMOVED
+The Akka Cluster Specification gives no quorum for downing; `docs/design.md` says why this one.
+"""
 
+from typing import TYPE_CHECKING
+
+from stagevale.membership.member import COUNTED_STATES, Member, MemberState
+
+if TYPE_CHECKING:
+    from stagevale.membership.membership import Membership
+
+# A core member that has been down for so many times `contactMs` is taken for gone for good.
 GONE_SHARE = 8.0
 
 
 class Downing:
-    """The sorted leader's judgement of members that can't be reached."""
+    """The leader's judgement of members that can't be reached."""
 
-    __slots__ = ("membership", "down_since_ms")
+    __slots__ = ("membership", "_down_since_ms")
 
-    def __init__(self, membership):
+    def __init__(self, membership: "Membership") -> None:
         self.membership = membership
-        self.down_since_ms = {}
+        self._down_since_ms: dict[int, float] = {}
 
-    def gone(self, member, now_ms):
-        """True for a core member that has been down so long that its machine must be taken for gone
-        for good.
-        """
-        since_ms = self.down_since_ms.setdefault(member.key, now_ms)
+    def is_gone(self, member: Member, now_ms: float) -> bool:
+        """True for a core member that has been down so long that it is to be removed."""
+        since_ms = self._down_since_ms.setdefault(member.key, now_ms)
         bounds = self.membership.context.settings.bounds
         return now_ms - since_ms > bounds.contact_ms * GONE_SHARE
 
-    def downed(self):
-        """The members with those marked down that a majority of the core machines finds
-        unreachable, or None where there are none.
+    def members_with_downed(self) -> dict[str, Member] | None:
+        """The members with those marked down that a majority of the core machines can't reach;
+        None where there are none.
         """
         membership = self.membership
         members = dict(membership.state.members)
-        core = {m.machine for m in members.values() if m.core and m.state != REMOVED}
+        core = {
+            member.machine
+            for member in members.values()
+            if member.is_core and member.state != MemberState.REMOVED
+        }
         changed = False
-        for address in membership.unreachable:
-            witnesses = self.witnesses(address, members)
-            if len(witnesses & core) * 2 > len(core) and members[address].state in COUNTED:
-                members[address] = members[address].at(DOWN)
+        for address in membership.failure_detector.unreachable:
+            observers = self._observers(address)
+            majority = len(observers & core) * 2 > len(core)
+            if majority and members[address].state in COUNTED_STATES:
+                members[address] = members[address].with_state(MemberState.DOWN)
                 changed = True
         return members if changed else None
 
-    def witnesses(self, address, members):
-        """The core machines that find a member unreachable, by their own recent word."""
+    def _observers(self, address: str) -> set[str]:
+        """The core machines that can't reach a member, by their own recent reports."""
         membership = self.membership
-        found = {
+        members = membership.state.members
+        machines = {
             observer.rpartition(":")[0]
-            for observer, (heartbeat, seen) in membership.observed.items()
-            if address in seen
-            and observer not in membership.unreachable
-            and membership.recent(observer, heartbeat)
+            for observer, report in membership.gossip.reports.items()
+            if address in report.unreachable
+            and membership.is_reachable(observer)
+            and membership.gossip.is_recent(observer, report.heartbeat)
             and observer in members
-            and members[observer].core
+            and members[observer].is_core
         }
-        if membership.me.core:
-            found.add(membership.me.machine)
-        return found
+        if membership.me.is_core:
+            machines.add(membership.me.machine)
+        return machines
--- /dev/null
+++ b/stagevale/quorum/__init__.py
@@ -0,0 +1,1 @@
+"""Majorities: ballots, the count of a request's replies, and voters that keep promises in memory."""
--- a/stagevale/rehearsing/__init__.py
+++ b/stagevale/rehearsing/__init__.py
@@ -5,10 +5,11 @@
 import heapq
 import random
 
-from stagevale.balancing import Chooser, Target
+from stagevale.balancing.chooser import Chooser
 from stagevale.balancing.snapshot import Limits, Route, Service, Snapshot
+from stagevale.balancing.target import Target
 from stagevale.forwarding import REFUSE_SHARE
-from stagevale.placement import fronts_for
+from stagevale.placement.fronts import ReadyFront, fronts_for
 
 PURE, EFFECTFUL = "repeatable", "at most once"
 
@@ -212,7 +213,7 @@
     """Which flows reach which front once a region is lost, by the directory's own rule."""
     if not lost:
         return {address: list(flows) for address, flows in plan.flows.items()}
-    ready = {row for row in plan.fronts.values() if row[2] != lost}
+    ready = {ReadyFront(*row) for row in plan.fronts.values() if row[2] != lost}
     if not ready:
         raise RehearsalFailure(f"without {lost} no front is left")
     by_front = {row[0]: address for address, row in plan.fronts.items()}
--- /dev/null
+++ b/stagevale/runtime/__init__.py
@@ -0,0 +1,1 @@
+"""What a daemon needs of its process: clock, timers, sockets, the disk thread, settings, log."""
--- /dev/null
+++ b/stagevale/sessions/messages.py
@@ -0,0 +1,103 @@
+"""What proxies and registries say to each other about sessions.
+
+Fields are read in the order in which they stand here; order and types are part of the protocol.
+Records travel as the lists that `records` makes of them.
+"""
+
+import enum
+from typing import Any, NamedTuple
+
+
+class ReplyCode(enum.IntEnum):
+    """How a replica replies to a request about a session."""
+
+    NOT_A_REPLICA = -1
+    STALE_LEASE = 0
+    DONE = 1
+    ALREADY_RESERVED = 2
+
+
+class AcquireRequest(NamedTuple):
+    """A proxy asks for the lease of a session under a higher version."""
+
+    group: str
+    group_version: int
+    session: str
+    number: int
+    holder: str
+
+
+class ReserveKeyRequest(NamedTuple):
+    """The holder of a session's lease reserves a key before the request is sent."""
+
+    group: str
+    group_version: int
+    session: str
+    number: int
+    holder: str
+    key: str
+    attempt_count: int
+    fingerprint: str
+    reserved_by: str
+    keep_ms: float
+
+
+class RecordOutcomeRequest(NamedTuple):
+    """What became of a reserved key, whoever holds the lease by now."""
+
+    group: str
+    group_version: int
+    session: str
+    key: str
+    record: list[Any]
+    endpoints: dict[str, Any]
+
+
+class ReadSessionRequest(NamedTuple):
+    """Asks what is known of a session, without acquiring its lease."""
+
+    group: str
+    group_version: int
+    session: str
+
+
+class SessionReply(NamedTuple):
+    """A replica's reply.
+
+    Attributes:
+        code: a ReplyCode; for a read 1 where the replica may speak for the group.
+        content: the session's record, the key's record, or the number of a higher lease.
+        former_holder: who held the lease before; empty for nobody.
+    """
+
+    code: int
+    content: Any = None
+    former_holder: str | None = None
+
+
+class SyncRequest(NamedTuple):
+    """A registry asks for all records of a group, or whether they have been learned."""
+
+    group: str
+    group_version: int
+
+
+class SyncReply(NamedTuple):
+    """The records of a group.
+
+    Attributes:
+        learned_version: the version of the group whose records are complete here; negative for
+            none.
+        records: fields of records by session.
+    """
+
+    learned_version: int
+    records: dict[str, Any]
+
+
+class SuccessorRow(NamedTuple):
+    """A session that a proxy which shuts down leaves to another: name, group, lease number."""
+
+    session: str
+    group: str
+    number: int
--- a/tests/compatibility/driver.py
+++ b/tests/compatibility/driver.py
@@ -5,17 +5,34 @@
 
 import json
 
-from simworld import Fleet, SimTransport
-from standins import Client
-
-from stagevale import wire
-from stagevale.affinity.log import SessionLog
-from stagevale.configuration.disk import DiskRegister, Folder, NumberedTables
-from stagevale.configuration.value import Value, read_value
-from stagevale.duties.node import DutyValue, read_duty_value
-from stagevale.register.storage import Vote, VoteStorage
-from stagevale.registrations import READY, Life, life_from_fields
-from stagevale.settings import SettingsFailure, load_settings, read_settings
+from support.endpoints import Client
+from support.fleet import Fleet
+from support.network import SimTransport
+
+from stagevale.configuration.value import (
+    ConfigurationValue,
+    SessionGroup,
+    StoredOffer,
+    read_configuration_value,
+)
+from stagevale.consensus import messages as consensus
+from stagevale.consensus.commands import CommandRequest
+from stagevale.consensus.vote_storage import Vote, VoteStorage
+from stagevale.discovery import messages as discovery
+from stagevale.discovery.instance import Instance, InstanceState
+from stagevale.membership import messages as gossip
+from stagevale.quorum.ballot import Ballot
+from stagevale.rpc import codec
+from stagevale.rpc.kinds import SINGLETON_KIND_OFFSET, MessageKind
+from stagevale.rpc.message import message_body, read_message
+from stagevale.sessions import messages as sessions
+from stagevale.sessions.session_log import SessionLog
+from stagevale.settings.settings import SettingsError, load_settings, read_settings
+from stagevale.singleton import messages as singleton
+from stagevale.singleton.value import SingletonValue, read_singleton_value
+from stagevale.storage.folder import Folder
+from stagevale.storage.generations import GenerationFile
+from stagevale.storage.tables import NumberedTables
 
 GROUP = ("10.0.0.1:7201", "10.0.0.2:7201", "10.0.0.3:7201~0a1b2c3d")
 
@@ -23,9 +40,59 @@
 # messages
 
 
+CONSENSUS_MESSAGES = {
+    MessageKind.PRE_VOTE: consensus.PreVoteRequest,
+    MessageKind.PREPARE: consensus.PrepareRequest,
+    MessageKind.ACCEPT: consensus.AcceptRequest,
+    MessageKind.CONFIRM_LEADERSHIP: consensus.ConfirmRequest,
+    MessageKind.LEADER_HEARTBEAT: consensus.LeaderHeartbeat,
+    MessageKind.LEADER_QUERY: consensus.LeaderQuery,
+    MessageKind.LEADER_RESIGNED: consensus.LeaderResigned,
+    MessageKind.LEAVE_GROUP: consensus.LeaveRequest,
+}
+MESSAGES = {
+    **CONSENSUS_MESSAGES,
+    **{kind + SINGLETON_KIND_OFFSET: message for kind, message in CONSENSUS_MESSAGES.items()},
+    MessageKind.COMMAND: CommandRequest,
+    MessageKind.COMMITTED_VALUE: discovery.CommittedValue,
+    MessageKind.INSTANCES: discovery.InstancesMessage,
+    MessageKind.REGISTRY_PING: discovery.RegistryPing,
+    MessageKind.SHARD_CAMPAIGN: discovery.ShardCampaign,
+    MessageKind.SHARD_SYNC: discovery.ShardSyncRequest,
+    MessageKind.SHARD_HANDOFF: discovery.ShardHandoff,
+    MessageKind.SUBSCRIBE: discovery.SubscribeMessage,
+    MessageKind.FEED: discovery.FeedMessage,
+    MessageKind.FEED_HEARTBEAT: discovery.FeedHeartbeat,
+    MessageKind.PULL_VALUE: discovery.PullValue,
+    MessageKind.LEASE_REQUEST: discovery.LeaseRequest,
+    MessageKind.LEASE_GRANT: discovery.LeaseGrant,
+    MessageKind.USAGE_REPORT: singleton.UsageReport,
+    MessageKind.USAGE_COUNTS_REQUEST: singleton.UsageCountsRequest,
+    MessageKind.SESSION_ACQUIRE: sessions.AcquireRequest,
+    MessageKind.SESSION_RESERVE_KEY: sessions.ReserveKeyRequest,
+    MessageKind.SESSION_RECORD_OUTCOME: sessions.RecordOutcomeRequest,
+    MessageKind.SESSION_READ: sessions.ReadSessionRequest,
+    MessageKind.SESSION_SYNC: sessions.SyncRequest,
+    MessageKind.SESSION_SYNC_STATUS: sessions.SyncRequest,
+}
+DATAGRAMS = {
+    MessageKind.OVERVIEW: gossip.OverviewMessage,
+    MessageKind.STATE: gossip.GossipStateMessage,
+    MessageKind.STATE_REQUEST: gossip.StateRequestMessage,
+}
+
+
 def written_again(frame):
-    """A recorded frame, read and written by the code at hand."""
-    return wire.pack(wire.unpack(frame, "recorded", "a peer"))
+    """A recorded frame, read and written by the code at hand: as a typed message where its kind
+    has one.
+    """
+    kind, *fields = codec.decode(frame, "recorded", "a peer")
+    if kind in DATAGRAMS:
+        return codec.encode([kind, *read_message(DATAGRAMS[kind], fields)])
+    request_id, body = fields
+    if kind in MESSAGES:
+        body = message_body(read_message(MESSAGES[kind], body))
+    return codec.encode([kind, request_id, body])
 
 
 # stored data
@@ -39,56 +106,55 @@
 
 def configuration_votes(count):
     """A store's votes, each one change of the configuration after the one before."""
-    value = Value(
+    value = ConfigurationValue(
         1,
         1,
         config_text(1),
         ("a1",),
         GROUP,
-        offers={"shop": ("ab12", '{"routes":[]}')},
-        sessions={"|0": (3, ("10.0.0.1:7200",), ("10.0.0.2:7200",))},
+        offers={"shop": StoredOffer("ab12", '{"routes":[]}')},
+        sessions={"|0": SessionGroup(3, ("10.0.0.1:7200",), ("10.0.0.2:7200",))},
         rollouts={"s": '{"service":"s"}'},
     )
     peers = ("10.0.0.2:7200", "10.0.0.3:7200")
-    votes = [
-        Vote(GROUP[0], GROUP[:2], (1, "10.0.0.1:7201#aa"), (1, "10.0.0.1:7201#aa"), value, peers)
-    ]
+    ballot = Ballot(1, "10.0.0.1:7201#aa")
+    votes = [Vote(GROUP[0], GROUP[:2], ballot, ballot, value, peers)]
     for number in range(2, count + 1):
-        value = value.after(
+        value = value.changed(
             version=number,
             config=config_text(number).replace("/p3/", f"/q{number}/", 1),
-            answered=value.answered.with_order(str(number), f"{number:024x}"),
+            answered=value.answered.with_change(str(number), f"{number:024x}"),
         )
-        ballot = (number, "10.0.0.2:7201#bb")
+        ballot = Ballot(number, "10.0.0.2:7201#bb")
         votes.append(Vote(GROUP[0], GROUP[:2], ballot, ballot, value, peers))
     return votes
 
 
 def duty_votes(count):
     """A registry's votes on the platform's duties."""
-    value = DutyValue(1, 1, "registry-1", GROUP, (), 3)
+    value = SingletonValue(1, 1, "registry-1", GROUP, (), 3)
     votes = []
     for number in range(1, count + 1):
-        value = value.after(
-            fence=number,
+        value = value.changed(
+            fencing_token=number,
             pending=((number + 3, f'{{"windowNo":{number + 3}}}'),),
-            through=number + 3,
+            last_window=number + 3,
         )
-        ballot = (number, "10.0.0.1:7200#cc")
+        ballot = Ballot(number, "10.0.0.1:7200#cc")
         votes.append(Vote(GROUP[0], GROUP[:2], ballot, ballot, value))
     return votes
 
 
 def save_configuration_votes(folder, count):
     """Saves votes one after the other, as a store does."""
-    storage = VoteStorage(NumberedTables(Folder(str(folder))), read_value)
+    storage = VoteStorage(NumberedTables(Folder(str(folder))), read_configuration_value)
     for vote in configuration_votes(count):
         storage.save(vote)
 
 
 def save_duty_votes(folder, count):
     """Saves votes one after the other, as a registry with duties does."""
-    storage = VoteStorage(NumberedTables(Folder(str(folder))), read_duty_value)
+    storage = VoteStorage(NumberedTables(Folder(str(folder))), read_singleton_value)
     for vote in duty_votes(count):
         storage.save(vote)
 
@@ -104,22 +170,26 @@
 def endpoint_rows():
     """Rows of endpoints as a registry tells them and keeps them as hints."""
     lives = [
-        Life("i-1", "s", "10.9.0.1:80", "a1", 3, READY, 7, 0, 0, 0, software="v1"),
-        Life("i-2", "t", "10.9.0.2:80", "b1", 4, READY, 9, 4, 2, 1500, software=""),
+        Instance(
+            "i-1", "s", "10.9.0.1:80", "a1", 3, InstanceState.READY, 7, 0, 0, 0, software="v1"
+        ),
+        Instance(
+            "i-2", "t", "10.9.0.2:80", "b1", 4, InstanceState.READY, 9, 4, 2, 1500, software=""
+        ),
     ]
-    return [life.fields(0.0) for life in lives]
+    return [life.to_row(0.0) for life in lives]
 
 
 def save_hints(folder):
     """Saves endpoint hints three times, as a registry does."""
-    register = DiskRegister(Folder(str(folder)))
+    register = GenerationFile(Folder(str(folder)))
     for count in (0, 1, 2):
-        register.save(wire.pack([0, endpoint_rows()[:count]]))
+        register.save(codec.encode([0, endpoint_rows()[:count]]))
 
 
 def read_vote(folder, kind):
     """The newest vote in a folder, as plain data."""
-    reader = read_value if kind == "configuration" else read_duty_value
+    reader = read_configuration_value if kind == "configuration" else read_singleton_value
     vote = VoteStorage(NumberedTables(Folder(str(folder))), reader).load()
     return {
         "voter": vote.voter,
@@ -127,8 +197,8 @@
         "promised": list(vote.promised),
         "accepted_ballot": list(vote.accepted_ballot),
         "peers": list(vote.peers),
-        "value": vote.accepted.fields(),
-        "mark": vote.accepted.mark.hex(),
+        "value": vote.accepted.to_fields(),
+        "mark": vote.accepted.digest.hex(),
     }
 
 
@@ -139,9 +209,9 @@
 
 def read_hints(folder):
     """The rows of the endpoints that a registry remembers."""
-    record = DiskRegister(Folder(str(folder))).load()
-    rows = wire.unpack(record, "load", "disk")[1]
-    return [life_from_fields(row, 0.0).fields(0.0) for row in rows]
+    record = GenerationFile(Folder(str(folder))).load()
+    rows = codec.decode(record, "load", "disk")[1]
+    return [Instance.from_row(row, 0.0).to_row(0.0) for row in rows]
 
 
 # calls of endpoints and operators
@@ -179,7 +249,7 @@
     """A settings file's fields by their keys in the file, or the text of the failure."""
     try:
         settings = read_settings(text)
-    except SettingsFailure as failure:
+    except SettingsError as failure:
         return {"failure": str(failure)}
     bounds = settings.bounds
     return {
@@ -212,7 +282,7 @@
     """The text of the failure to load a settings file."""
     try:
         load_settings(path)
-    except SettingsFailure as failure:
+    except SettingsError as failure:
         return str(failure)
     return None
 
--- a/tests/register_model.py
+++ b/tests/register_model.py
@@ -3,10 +3,10 @@
 import json
 import random
 
-from simworld import Fleet
+from support.fleet import Fleet
 
-from stagevale.configuration.value import read_value
-from stagevale.register.storage import VoteStorage
+from stagevale.configuration.value import read_configuration_value
+from stagevale.consensus.vote_storage import VoteStorage
 
 CORE = 6
 TOLERATED_WIPES = 2
@@ -33,7 +33,7 @@
         self.torn.discard(number)
         self.whole[number] = record
 
-    def drop(self, number):
+    def remove(self, number):
         self.torn.discard(number)
         record = self.whole.pop(number, None)
         if record is not None:
@@ -55,10 +55,10 @@
     __slots__ = ()
 
     def __init__(self):
-        super().__init__(MemoryTables(), read_value)
+        super().__init__(MemoryTables(), read_configuration_value)
 
     def load(self):
-        self.last, self.first = None, 0
+        self.last_saved, self.snapshot_number = None, 0
         return super().load()
 
 
@@ -161,7 +161,7 @@
             payload = (
                 "" if call.kind == "read" else payload_of(call.version, call.parent, call.host)
             )
-            registry.service.register.order(call.kind, payload, answered)
+            registry.service.configuration.send_command(call.kind, payload, answered)
 
     def done(self, call, status, text):
         run = self.run
@@ -421,7 +421,7 @@
         key = (confirmed or taken)[0]
 
 
-def check_changes(history, changes, chain, positions):
+def check_changes(_history, changes, chain, positions):
     wrong = []
     for key, call in changes.items():
         if call.outcome == 200 and key not in positions:
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Test doubles by concern: network, disk, fleet, endpoints, platform."""
--- a/tests/approval.py
+++ b/tests/support/approval.py
@@ -3,7 +3,7 @@
 import os
 import pathlib
 
-APPROVED = pathlib.Path(__file__).parent / "approved"
+APPROVED = pathlib.Path(__file__).parents[1] / "approved"
 
 
 def approve(name, lines):
--- a/tests/standins.py
+++ b/tests/support/endpoints.py
@@ -3,12 +3,14 @@
 import asyncio
 import json
 
-from simworld import SimContext, SimTransport, World
-
-from stagevale.configuration.value import Value
-from stagevale.programs.proxy import Proxy
-from stagevale.registrations import READY, Life
-from stagevale.settings import read_settings
+from stagevale.api.heartbeat_body import read_heartbeat
+from stagevale.api.router import Call
+from stagevale.api.status_page import status_page
+from stagevale.configuration.value import ConfigurationValue
+from stagevale.daemons.proxy import Proxy
+from stagevale.discovery.instance import Instance, InstanceState
+from stagevale.settings.settings import read_settings
+from support.network import SimContext, SimTransport, World
 
 PROXY_SETTINGS = """
 [daemon]
@@ -45,8 +47,8 @@
         self.alive = True
         world.listeners[(self.ip, 80)] = (self, lambda: EndpointSide(self))
 
-    def life(self, state=READY, cold_ms=0, seq=1):
-        return Life(
+    def instance(self, state=InstanceState.READY, cold_ms=0, seq=1):
+        return Instance(
             self.id,
             self.service,
             f"{self.ip}:80",
@@ -90,7 +92,7 @@
                 self.endpoint.world.later(delay_ms, self.transport.write, out)
 
 
-def good(endpoint, fields, body, text=b"fine", extra=b""):
+def good(endpoint, fields, _body, text=b"fine", extra=b""):
     """The whole answer of an endpoint that ran the request."""
     id = fields[b"attempt-id"]
     endpoint.ran.append(id.decode())
@@ -150,7 +152,7 @@
         self.world.regions["10.0.1.1"] = self.world.regions["10.7.0.1"] = "a"
         self.context = SimContext(self.world, read_settings(PROXY_SETTINGS + settings), "proxy")
         self.proxy = Proxy(self.context, "/none")
-        self.proxy.begin()
+        self.proxy.start()
         self.endpoints = []
         routes = routes or [route("pure", "/p/"), route("effectful", "/e/")]
         self.config = {
@@ -167,20 +169,20 @@
             },
             **(more or {}),
         }
-        self.value = Value(1, 1, json.dumps(self.config), (), (), {})
+        self.value = ConfigurationValue(1, 1, json.dumps(self.config), (), (), {})
         self.snapshot(self.value)
 
     def change(self, **more):
         """The next configuration, with these things changed."""
         self.config = {**self.config, **more}
-        self.value = self.value.after(
+        self.value = self.value.changed(
             version=self.value.version + 1, config=json.dumps(self.config)
         )
         self.snapshot(self.value)
 
     def snapshot(self, value):
         self.proxy.forwarder.snapshot = self.proxy.forwarder.snapshot.with_value(value)
-        self.proxy.lives_heard = True
+        self.proxy.instances_received = True
         self.proxy.forwarder.snapshot = self.proxy.forwarder.snapshot.with_proxies(
             (("10.0.1.1:7200", "a1", "a"),)
         )
@@ -188,13 +190,13 @@
     def endpoint(self, rule=good, zone="a1", service="s"):
         endpoint = Endpoint(self.world, len(self.endpoints) + 1, rule, zone, service)
         self.endpoints.append(endpoint)
-        self.tell(endpoint.life())
+        self.update(endpoint.instance())
         return endpoint
 
-    def tell(self, life):
-        self.proxy.take_life(life, self.world.env.now, self.proxy.forwarder.snapshot)
+    def update(self, instance):
+        self.proxy.targets.update(instance)
         self.proxy.forwarder.snapshot = self.proxy.forwarder.snapshot.with_targets(
-            self.proxy.tables()
+            self.proxy.targets.by_service()
         )
 
     def client(self, data=b""):
@@ -227,3 +229,19 @@
     if body:
         head += b"Content-Length: " + str(len(body)).encode() + b"\r\n"
     return head + b"\r\n" + body
+
+
+def send_heartbeat(service, id, table, answer):
+    """Hands a heartbeat to a registry's service, as its control port does."""
+    instance = read_heartbeat(id, json.dumps(table).encode(), service.context.now_ms())
+    service.heartbeats.heartbeat(instance, answer)
+
+
+def api_call(registry, answer, method, *segments, query="", body=b""):
+    """Hands a call to a registry's API; `answer(status, body)` is called once."""
+    registry.api.router.dispatch(Call(method, ("v1", *segments), query, body), answer)
+
+
+def status_of(registry):
+    """A registry's status page."""
+    return status_page(registry.service)
--- a/tests/simworld.py
+++ b/tests/support/network.py
@@ -7,8 +7,6 @@
 
 import simpy
 
-from stagevale.settings import read_settings
-
 
 class Log:
     """Collects what daemons log, with the simulated time."""
@@ -33,6 +31,9 @@
     def error(self, *a):
         self.put("error", *a)
 
+    def exception(self, *a):
+        self.put("error", *a)
+
 
 class Timer:
     __slots__ = ("off",)
@@ -217,16 +218,15 @@
         self.world, self.settings, self.alive, self.stopping = world, settings, True, False
         self.random = random.Random(zlib.crc32(f"{name} {world.random.random()}".encode()))
         self.log = Log(world, name)
-        self.loop = self
         self.stopped = False
-        self.stall_watch = None
+        self.stall_monitor = None
 
     def stop(self):
         self.stopped = True
         self.world.kill(self)
 
     def stalled(self):
-        return self.stall_watch is not None and self.stall_watch.stalled()
+        return self.stall_monitor is not None and self.stall_monitor.stalled()
 
     def now_ms(self):
         return self.world.env.now
@@ -241,16 +241,16 @@
         elif self.alive:
             call(*args)
 
-    def after(self, delay_ms, call, *args):
+    def call_later(self, delay_ms, call, *args):
         return self.world.later(delay_ms, self.guarded, call, *args)
 
-    def soon(self, call, *args):
+    def call_soon(self, call, *args):
         self.world.later(0, self.guarded, call, *args)
 
     def listen(self, address, factory, ready=None):
         self.world.listeners[address] = (self, factory)
 
-    def datagrams(self, address, protocol):
+    def listen_datagrams(self, address, protocol):
         self.world.sockets[address] = (self, protocol)
         self.world.later(0, protocol.connection_made, SimDatagrams(self, address))
 
@@ -260,10 +260,12 @@
         def arrive():
             found = world.listeners.get(address)
             if world.is_cut(mine, address[0]) or world.is_cut(address[0], mine):
-                self.after(timeout_ms, failed, TimeoutError("timed out"))
+                self.call_later(timeout_ms, failed, TimeoutError("timed out"))
                 return
             if found is None:
-                self.after(world.delay(mine, address[0]), failed, ConnectionRefusedError("refused"))
+                self.call_later(
+                    world.delay(mine, address[0]), failed, ConnectionRefusedError("refused")
+                )
                 return
             theirs, factory = found
             far = SimTransport(world, address[0], mine, factory(), silence_ms, theirs)
@@ -271,22 +273,22 @@
             far.other, near.other = near, far
             world.transports += [far, near]
             far.protocol.connection_made(far)
-            self.after(world.delay(mine, address[0]), protocol.connection_made, near)
+            self.call_later(world.delay(mine, address[0]), protocol.connection_made, near)
 
-        self.after(world.delay(mine, address[0]), arrive)
+        self.call_later(world.delay(mine, address[0]), arrive)
 
-    def disk(self, work, done):
+    def run_on_disk(self, work, done):
         def step():
             if self.settings.ip in self.world.stalled:
-                self.after(50, step)
+                self.call_later(50, step)
                 return
             try:
                 result, failure = work(), None
-            except Exception as caught:
+            except Exception as caught:  # noqa: BLE001 - as the disk thread does
                 result, failure = None, caught
-            self.after(1.0, done, result, failure)
+            self.call_later(1.0, done, result, failure)
 
-        self.after(1.0, step)
+        self.call_later(1.0, step)
 
 
 class SimDatagrams:
@@ -305,227 +307,3 @@
                 found[1].datagram_received(data, self.address)
 
         world.later(world.delay(self.address[0], address[0]), arrive)
-
-
-class MemoryDisk:
-    """A disk that keeps the last record that was saved."""
-
-    def __init__(self):
-        self.kept = None
-
-    def load(self):
-        return self.kept
-
-    def save(self, record):
-        self.kept = record
-
-
-class MemoryLog:
-    """A session log that keeps its batches in memory."""
-
-    def __init__(self):
-        self.rows = []
-
-    def load(self):
-        return list(self.rows)
-
-    def wants_whole(self):
-        return len(self.rows) > 2000
-
-    def append(self, rows, whole):
-        self.rows = list(rows) if whole else self.rows + list(rows)
-
-
-def store_daemon(context, disk):
-    """A store whose vote is kept on a simulated disk."""
-    from stagevale.programs.store import Store
-
-    class SimStore(Store):
-        __slots__ = ()
-
-        def storage(self):
-            return disk
-
-    return SimStore(context, "/none")
-
-
-SETTINGS = """
-[daemon]
-name = "{name}"
-ip = "{ip}"
-zone = "{zone}"
-region = "{region}"
-counted = {counted}
-firstStart = {first}
-dataPath = "/data"
-[connections]
-innerPorts = [7200, 7215]
-seeds = [{seeds}]
-[listen]
-{listen}
-[zones]
-a1 = "a"
-b1 = "b"
-c1 = "c"
-a2 = "a"
-b2 = "b"
-c2 = "c"
-[terms]
-beatMs = 1500
-[bounds]
-contactMs = 4000
-"""
-ZONES = ("a1", "b1", "c1", "a2", "b2", "c2")
-
-
-def number_of(voter):
-    """The number of the machine that a voter's address belongs to."""
-    return int(voter.partition(":")[0].rpartition(".")[2]) - 1
-
-
-class Fleet:
-    """Core machines in three regions, six unless told otherwise, and as many proxies as asked for.
-
-    `seeds` are the numbers of the machines that settings name from now on.
-    """
-
-    def __init__(self, seed=1, proxies=0, more="", core=6):
-        self.world = World(seed)
-        self.more = more
-        self.seeds = (1, 2, 3)
-        self.registries, self.stores, self.proxies, self.store_daemons = {}, {}, {}, {}
-        for number in range(core):
-            self.world.regions[f"10.0.0.{number + 1}"] = ZONES[number % 6][0]
-            self.start_core(number, True)
-        for number in range(proxies):
-            self.world.regions[f"10.0.1.{number + 1}"] = ZONES[number % 6][0]
-            self.start_proxy(number)
-
-    def settings(self, ip, zone, listen, first):
-        seeds = ", ".join(f'"10.0.0.{n}:8000"' for n in self.seeds)
-        return read_settings(
-            SETTINGS.format(
-                name=f"node-{ip}",
-                ip=ip,
-                zone=zone,
-                region=zone[0],
-                seeds=seeds,
-                listen=listen,
-                counted="true",
-                first="true" if first else "false",
-            )
-            + self.more
-        )
-
-    def start_core(self, number, first):
-        self.start_registry(number, first)
-        self.start_store(number, first)
-
-    def start_registry(self, number, first=False):
-        from stagevale.programs.registry import Registry
-
-        ip = f"10.0.0.{number + 1}"
-        self.world.regions[ip] = ZONES[number % 6][0]
-        settings = self.settings(
-            ip, ZONES[number % 6], f'control = "{ip}:8000"\ndirectory = "{ip}:8001"', first
-        )
-        settings.data_path = ""
-        logs = self.world.disks.setdefault("sessions " + ip, MemoryLog())
-        daemon = Registry(SimContext(self.world, settings, f"registry-{number + 1}"), "/none")
-        self.registries[number] = daemon
-        daemon.service.open_log = lambda: logs
-        daemon.service.load_hints(self.world.disks.setdefault("registry " + ip, MemoryDisk()))
-        if settings.duties:
-            daemon.take_part(self.world.disks.setdefault("duties " + ip, MemoryDisk()))
-        daemon.begin()
-
-    def start_store(self, number, first=False):
-        ip = f"10.0.0.{number + 1}"
-        context = SimContext(
-            self.world, self.settings(ip, ZONES[number % 6], "", first), f"store-{number + 1}"
-        )
-        disk = self.world.disks.setdefault(ip, MemoryDisk())
-        daemon = store_daemon(context, disk)
-        self.store_daemons[number] = daemon
-        self.stores[number] = daemon.node
-        daemon.begin()
-
-    def start_proxy(self, number):
-        from stagevale.programs.proxy import Proxy
-
-        ip = f"10.0.1.{number + 1}"
-        settings = self.settings(
-            ip, ZONES[number % 6], f'front = "{ip}:9000"\nready = "{ip}:9001"', True
-        )
-        daemon = Proxy(SimContext(self.world, settings, f"proxy-{number + 1}"), "/none")
-        self.proxies[number] = daemon
-        daemon.begin()
-
-    def kill_core(self, number):
-        self.world.kill(self.registries[number].context)
-        self.world.kill(self.stores[number].context)
-
-    def end_core(self, number):
-        """SIGTERM for both daemons of a core machine."""
-        for daemon in (self.registries[number], self.store_daemons[number]):
-            if not daemon.ending and daemon.context.alive:
-                daemon.ending = daemon.context.stopping = True
-                daemon.end()
-
-    def running(self, number):
-        """True while a daemon of a core machine still runs."""
-        return self.registries[number].context.alive or self.stores[number].context.alive
-
-    def voters(self):
-        """The numbers of the machines whose stores vote, as the leader has it."""
-        leader = self.leaders()[0] - 1
-        return [number_of(voter) for voter in self.stores[leader].chosen.group]
-
-    def wipe(self, number):
-        self.world.disks[f"10.0.0.{number + 1}"] = MemoryDisk()
-        self.world.disks[f"registry 10.0.0.{number + 1}"] = MemoryDisk()
-        self.world.disks[f"sessions 10.0.0.{number + 1}"] = MemoryLog()
-        self.world.disks[f"duties 10.0.0.{number + 1}"] = MemoryDisk()
-
-    def daemons(self):
-        return [
-            daemon
-            for daemon in list(self.registries.values()) + list(self.proxies.values())
-            if daemon.context.alive
-        ] + [keeper for keeper in self.stores.values() if keeper.context.alive]
-
-    def formed(self, count):
-        return all(
-            len([m for m in daemon.membership.state.members.values() if m.state == 1]) == count
-            and daemon.membership.converged()
-            for daemon in self.daemons()
-        )
-
-    def leaders(self):
-        return [
-            number + 1
-            for number, keeper in self.stores.items()
-            if keeper.context.alive and keeper.ballot is not None and keeper.chosen is not None
-        ]
-
-    def order(self, number, order, payload, wait_ms=3000):
-        """Sends an operator's order to one registry; returns (status, text), or None where none
-        came.
-        """
-        got = []
-        self.registries[number].service.register.order(
-            order, payload, lambda status, text: got.append((status, text))
-        )
-        self.world.until(lambda: got, wait_ms)
-        return got[0] if got else None
-
-    def insist(self, numbers, order, payload, limit_ms=12000):
-        """Sends an order as the operator does, again and again, until there is a clear answer."""
-        end = self.world.env.now + limit_ms
-        while self.world.env.now < end:
-            for number in numbers:
-                answer = self.order(number, order, payload, 1000)
-                if answer is not None and answer[0] != 503:
-                    return answer
-            self.world.run(200)
-        return None
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -5,21 +5,22 @@
 import json
 
 import pytest
-from simworld import Fleet
-from standins import Endpoint, client_at, good, request
-
-from stagevale.affinity import (
-    FREE,
-    NOTED,
-    Entry,
-    Record,
-    choose_members,
-    fingerprint_of,
-    tend,
+from support.endpoints import Endpoint, client_at, good, request, status_of
+from support.fleet import Fleet
+
+from stagevale.configuration.validation import check_configuration
+from stagevale.configuration.value import SessionGroup
+from stagevale.sessions.groups import NEW_GROUP, choose_members, next_groups
+from stagevale.sessions.records import (
+    AttemptId,
+    KeyRecord,
+    KeyState,
+    LeaseVersion,
+    SessionRecord,
 )
-from stagevale.affinity.log import SessionLog
-from stagevale.configuration.checking import read_config
-from stagevale.configuration.disk import Folder
+from stagevale.sessions.session_headers import fingerprint_of
+from stagevale.sessions.session_log import SessionLog
+from stagevale.storage.folder import Folder
 
 AFFINITY = {"header": "Session-Id"}
 
@@ -70,11 +71,11 @@
             self.beat(place, endpoint, 1)
         assert self.world.until(self.ready, 20000)
         for proxy in self.fleet.proxies.values():
-            proxy.forwarder.holdings.noting = noting
+            proxy.forwarder.sessions.reserves_keys = noting
 
     def ready(self):
         return all(
-            len(p.targets) == 6
+            len(p.targets.by_id) == 6
             and len(p.forwarder.snapshot.sessions) == 16
             and not any(before for _, _, before in p.forwarder.snapshot.sessions.values())
             for p in self.fleet.proxies.values()
@@ -85,8 +86,8 @@
         self.world.later(1500, self.beat, place, endpoint, seq + 1)
         for number in (place, (place + 1) % 6):
             if self.fleet.registries[number].context.alive:
-                self.fleet.registries[number].service.intake.take_in(
-                    endpoint.life(seq=seq), lambda status, body: None
+                self.fleet.registries[number].service.heartbeats.heartbeat(
+                    endpoint.instance(seq=seq), lambda _status, _body: None
                 )
                 return
 
@@ -131,11 +132,13 @@
     for site in (0, 1, 4):
         again = day.send(site, "k1")
         assert day.answer(again) == "200"
-        assert again.got.endswith(b"run 1") and f"Attempt-Id: {again.id}".encode() in again.got
+        assert again.got.endswith(b"run 1")
+        assert f"Attempt-Id: {again.id}".encode() in again.got
         assert b"Server-Seal: seal.a1" in again.got
     assert day.ran("k1") == 1
     assert day.answer(day.send(2, "k1", body=b"another crate")) == "422"
-    assert day.answer(day.send(3, "k2")) == "200" and day.ran("k2") == 1
+    assert day.answer(day.send(3, "k2")) == "200"
+    assert day.ran("k2") == 1
 
 
 def test_a_repeat_under_way_gets_its_answer_when_it_comes_or_409_at_the_deadline():
@@ -144,20 +147,21 @@
     first = day.send(0, "k1")
     day.world.run(400)
     beside, across = day.send(0, "k1"), day.send(1, "k1")
-    assert [day.answer(client) for client in (first, beside, across)] == ["200"] * 3 and day.ran(
-        "k1"
-    ) == 1
-    day.rule = lambda endpoint, fields, body: (
+    assert [day.answer(client) for client in (first, beside, across)] == ["200"] * 3
+    assert day.ran("k1") == 1
+    day.rule = lambda _endpoint, fields, _body: (
         day.runs.append((0, fields[b"idempotency-key"].decode(), "")),
         b"",
     )[1]
     silent = day.send(0, "k2")
     day.world.run(400)
     late = day.send(1, "k2", more=b"")
-    assert day.answer(late, 3000) in ("409", "504") and day.ran("k2") == 1
+    assert day.answer(late, 3000) in ("409", "504")
+    assert day.ran("k2") == 1
     assert day.answer(silent) == "504"
     day.rule = None
-    assert day.answer(day.send(2, "k2")) == "504" and day.ran("k2") == 1
+    assert day.answer(day.send(2, "k2")) == "504"
+    assert day.ran("k2") == 1
 
 
 def test_a_client_that_hangs_up_and_repeats_elsewhere_gets_the_answer_of_the_one_run():
@@ -167,25 +171,27 @@
     day.world.run(350)
     first.transport.abort()
     again = day.send(1, "k1")
-    assert day.answer(again) == "200" and day.ran("k1") == 1
+    assert day.answer(again) == "200"
+    assert day.ran("k1") == 1
 
 
 def test_what_did_not_run_may_run_later():
     day = Crossing(seed=4)
-    day.rule = lambda endpoint, fields, body: (
+    day.rule = lambda _endpoint, _fields, _body: (
         b"HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
     )
     assert day.answer(day.send(0, "k1")) == "503"
     day.rule = None
     day.world.run(1500)
-    assert day.answer(day.send(1, "k1")) == "200" and day.ran("k1") == 1
+    assert day.answer(day.send(1, "k1")) == "200"
+    assert day.ran("k1") == 1
 
 
 def test_a_repeat_that_waits_for_another_site_runs_once_that_one_says_it_did_not():
     day = Crossing(seed=10)
     turned = []
 
-    def rule(endpoint, fields, body):
+    def rule(endpoint, _fields, _body):
         if len(turned) < 2:
             turned.append(endpoint.id)
             return b"HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", 250
@@ -198,7 +204,8 @@
     day.world.run(2500)
     answers = [client.statuses()[:1] for client in (first, across)]
     assert day.ran("k1") <= 1 and ["200"] in answers or answers == [["503"], ["503"]]
-    assert day.answer(day.send(2, "k1")) == "200" and day.ran("k1") == 1
+    assert day.answer(day.send(2, "k1")) == "200"
+    assert day.ran("k1") == 1
 
 
 @pytest.mark.parametrize(
@@ -216,21 +223,23 @@
     day = Crossing(seed=5)
     before = len(day.runs)
     client = day.send(0, None, None, more=head)
-    assert day.answer(client) == "400" and field.encode() in client.got and len(day.runs) == before
+    assert day.answer(client) == "400"
+    assert field.encode() in client.got
+    assert len(day.runs) == before
 
 
 def test_routes_that_do_not_ask_pay_nothing():
     day = Crossing(seed=6)
-    calls = day.fleet.proxies[0].switchboard.call_no
+    calls = day.fleet.proxies[0].rpc.last_request_id
     assert day.answer(day.send(0, "k", path="/plain/x")) == "200"
-    assert day.fleet.proxies[0].switchboard.call_no == calls
+    assert day.fleet.proxies[0].rpc.last_request_id == calls
     assert day.answer(day.send(0, "k", session=None)) == "200"
-    assert day.fleet.proxies[0].switchboard.call_no == calls
+    assert day.fleet.proxies[0].rpc.last_request_id == calls
     fleet = Fleet(6, 1)
     plain = {**CONFIG, "routes": [route("/e/", "effectful", affinity=None)]}
     assert fleet.insist([0], "replace", json.dumps(plain), 20000)[0] == 200
     fleet.world.run(4000)
-    assert fleet.proxies[0].forwarder.holdings is None
+    assert fleet.proxies[0].forwarder.sessions is None
     assert all(registry.service.sessions is None for registry in fleet.registries.values())
 
 
@@ -243,9 +252,7 @@
             if name.startswith("a,b|") and group.records:
                 assert registry.membership.me.region in ("a", "b")
     groups = day.fleet.proxies[0].forwarder.snapshot.sessions
-    region_of = {
-        r.switchboard.address: r.membership.me.region for r in day.fleet.registries.values()
-    }
+    region_of = {r.rpc.address: r.membership.me.region for r in day.fleet.registries.values()}
     for name, (_, members, _) in groups.items():
         assert len(members) == 3
         assert {region_of[address] for address in members} == (
@@ -256,7 +263,7 @@
 def test_reads_never_wait_and_keep_to_the_sessions_endpoint():
     day = Crossing(seed=8)
     served = []
-    day.rule = lambda endpoint, fields, body: served.append(endpoint.id)
+    day.rule = lambda endpoint, _fields, _body: served.append(endpoint.id)
     assert day.answer(day.send(0, None, path="/p/x", body=b"")) == "200"
     day.world.cut([f"10.0.1.{n}" for n in range(1, 7)], [f"10.0.0.{n}" for n in range(1, 7)])
     for _ in range(5):
@@ -266,7 +273,8 @@
         day.world.run(300)
     assert len(set(served)) <= 2
     start_ms = day.world.env.now
-    assert day.answer(day.send(3, "k9")) == "503" and day.world.env.now - start_ms < 900
+    assert day.answer(day.send(3, "k9")) == "503"
+    assert day.world.env.now - start_ms < 900
     assert day.ran("k9") == 0
 
 
@@ -303,7 +311,7 @@
 
 
 def end_proxy(day, number):
-    day.fleet.proxies[number].end()
+    day.fleet.proxies[number].stop()
     day.world.later(6000, day.fleet.start_proxy, number)
 
 
@@ -367,7 +375,7 @@
         site = luck.randrange(6)
         proxy = day.fleet.proxies[site]
         client = day.send(site, None, session=name, path="/p/x", body=b"")
-        if client is None or not proxy.ready():
+        if client is None or not proxy.is_ready():
             return
         state["reads"] += 1
         sent_ms = day.world.env.now
@@ -376,7 +384,7 @@
             struck = (
                 not proxy.context.alive
                 or day.world.frozen.get(proxy.context, 0) > sent_ms
-                or proxy.ending
+                or proxy.stopping
             )
             if client.statuses() != ["200"] and not struck:
                 state["unread"] += 1
@@ -405,8 +413,10 @@
 @pytest.mark.parametrize("name", STRIKES)
 def test_crossings_leave_each_key_run_at_most_once(name):
     got = crossings(STRIKES[name], 20 + list(STRIKES).index(name))
-    assert got["doubles"] == 0 and got["missing"] == 0 and got["unread"] == 0, got
-    assert got["crossings"] > 150 and got["acknowledged"] > 50 and got["repeats"] > 30, got
+    for wrong in ("doubles", "missing", "unread"):
+        assert got[wrong] == 0, (wrong, got)
+    for name, least in (("crossings", 150), ("acknowledged", 50), ("repeats", 30)):
+        assert got[name] > least, (name, got)
 
 
 def test_without_noting_the_same_crossings_run_keys_twice():
@@ -418,14 +428,15 @@
     """A note that never had a majority, freed later than the next holder's note: taken for free, it
     would run twice.
     """
-    one, other = Record(2, "p2"), Record(1, "p1")
-    one.requests["k"] = Entry((2, "p2", 1), NOTED, "d", "p2", None, 9e9)
-    other.requests["k"] = Entry((1, "p1", 1), FREE, "d", "p1", None, 9e9)
+    one, other = SessionRecord(LeaseVersion(2, "p2")), SessionRecord(LeaseVersion(1, "p1"))
+    one.keys["k"] = KeyRecord(AttemptId(2, "p2", 1), KeyState.RESERVED, "d", "p2", None, 9e9)
+    other.keys["k"] = KeyRecord(AttemptId(1, "p1", 1), KeyState.NOT_RUN, "d", "p1", None, 9e9)
     for first, second in ((one, other), (other, one)):
-        joined = Record()
-        joined.join(first)
-        joined.join(second)
-        assert joined.requests["k"].state == NOTED and joined.version() == (2, "p2")
+        joined = SessionRecord()
+        joined.merge(first)
+        joined.merge(second)
+        assert joined.keys["k"].state == KeyState.RESERVED
+        assert joined.lease == (2, "p2")
 
 
 def test_groups_change_one_member_at_a_time_and_only_when_settled():
@@ -434,28 +445,33 @@
             self.address, self.region = f"10.0.0.{number}:7200", "abc"[number % 3]
 
     registries = [Registry(number) for number in range(1, 7)]
-    sessions = tend({}, ["|0", "a|0"], registries, set())
-    assert sessions["|0"][0] == 1 and sessions["|0"][2] == ("fresh",)
+    sessions = next_groups({}, ["|0", "a|0"], registries, set())
+    assert sessions["|0"][0] == 1
+    assert sessions["|0"][2] == NEW_GROUP
     assert len({r.region for r in registries if r.address in sessions["|0"][1]}) == 3
     assert all(r.region == "a" for r in registries if r.address in sessions["a|0"][1])
     lost = sessions["|0"][1][0]
-    assert tend(sessions, [], registries, {lost}) is None
-    settled = {name: (version, members, ()) for name, (version, members, _) in sessions.items()}
-    after = tend(settled, [], [r for r in registries if r.address != lost], {lost})
-    assert after["|0"][0] == 2 and after["|0"][2] == settled["|0"][1]
-    assert lost not in after["|0"][1] and len(set(after["|0"][1]) & set(settled["|0"][1])) == 2
-    assert choose_members("|1", registries[:2], ()) and fingerprint_of(
-        b"POST", b"/a", b"x"
-    ) != fingerprint_of(b"POST", b"/a", b"y")
+    assert next_groups(sessions, [], registries, {lost}) is None
+    settled = {
+        name: SessionGroup(version, members, ()) for name, (version, members, _) in sessions.items()
+    }
+    after = next_groups(settled, [], [r for r in registries if r.address != lost], {lost})
+    assert after["|0"][0] == 2
+    assert after["|0"][2] == settled["|0"][1]
+    assert lost not in after["|0"][1]
+    assert len(set(after["|0"][1]) & set(settled["|0"][1])) == 2
+    assert choose_members("|1", registries[:2], ())
+    assert fingerprint_of(b"POST", b"/a", b"x") != fingerprint_of(b"POST", b"/a", b"y")
 
 
 def test_the_log_survives_torn_batches_and_is_written_whole_in_time(tmp_path):
     log = SessionLog(Folder(str(tmp_path)))
     for number in range(70):
-        log.append([["record", "|0", f"s{number}", number]], log.wants_whole())
+        log.append([["record", "|0", f"s{number}", number]], log.wants_snapshot())
     again = SessionLog(Folder(str(tmp_path)))
     rows = again.load()
-    assert rows[-1][2] == "s69" and len(rows) < 70
+    assert rows[-1][2] == "s69"
+    assert len(rows) < 70
     newest = max(tmp_path.glob("batch-*.dat"), key=lambda path: int(path.stem.split("-")[1]))
     newest.write_bytes(newest.read_bytes()[:-3])
     torn = SessionLog(Folder(str(tmp_path)))
@@ -469,8 +485,10 @@
 )
 def test_affinity_without_a_header_is_an_invalid_configuration(affinity):
     text = json.dumps({**CONFIG, "routes": [route("/e/", "effectful", affinity=affinity)]})
-    checked = read_config(text)
-    assert checked.is_error() and checked.error.status == 400 and "affinity" in checked.error.reason
+    checked = check_configuration(text)
+    assert checked.is_error()
+    assert checked.error.status == 400
+    assert "affinity" in checked.error.reason
 
 
 def test_a_session_is_shown_with_its_keys_and_states():
@@ -478,22 +496,22 @@
     assert day.answer(day.send(0, "k1", session="fan-7")) == "200"
     assert day.answer(day.send(1, "k2", session="fan-7")) == "200"
     shown = []
-    day.fleet.registries[2].service.views.show_session(
+    day.fleet.registries[2].api.sessions.show(
         "fan-7", lambda status, body: shown.append((status, body))
     )
-    day.fleet.registries[2].service.views.show_session(
+    day.fleet.registries[2].api.sessions.show(
         "nobody", lambda status, body: shown.append((status, body))
     )
     assert day.world.until(lambda: len(shown) == 2, 3000)
     assert sorted(status for status, _ in shown) == [200, 404]
     record = next(body for status, body in shown if status == 200)["records"][0]
-    assert record["holder"] == "10.0.1.2:7200" and [
-        (j["key"], j["state"]) for j in record["requests"]
-    ] == [("k1", "answered"), ("k2", "answered")]
-    stands = [registry.service.status()["sessions"] for registry in day.fleet.registries.values()]
-    assert (
-        sum(stand["handedOver"] for stand in stands) >= 2
-        and sum(stand["noted"] for stand in stands) >= 4
-    )
+    assert record["holder"] == "10.0.1.2:7200"
+    assert [(j["key"], j["state"]) for j in record["requests"]] == [
+        ("k1", "answered"),
+        ("k2", "answered"),
+    ]
+    stands = [status_of(registry)["sessions"] for registry in day.fleet.registries.values()]
+    assert sum(stand["handedOver"] for stand in stands) >= 2
+    assert sum(stand["noted"] for stand in stands) >= 4
     assert not any("fan-7" in line for line in day.world.lines)
     assert not any("fan-7" in json.dumps(stand) for stand in stands)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -3,12 +3,15 @@
 import json
 
 import pytest
-from simworld import Fleet, number_of
+from support.endpoints import send_heartbeat
+from support.fleet import Fleet, number_of
 from test_register import config
 
-from stagevale.configuration import answered
-from stagevale.register.reconfiguration import GONE_SHARE
-from stagevale.register.storage import Vote
+from stagevale.configuration import change_history
+from stagevale.consensus.commands import CommandRequest
+from stagevale.consensus.reconfiguration import GONE_SHARE
+from stagevale.consensus.vote_storage import Vote
+from stagevale.rpc.kinds import MessageKind
 
 REPLACED_MS = 4000 * GONE_SHARE + 4000
 
@@ -54,7 +57,8 @@
     fleet.world.join()
     for _ in range(100):
         fleet.world.run(100)
-        assert fleet.leaders() == [leader + 1] and fleet.stores[leader].ballot == ballot
+        assert fleet.leaders() == [leader + 1]
+        assert fleet.stores[leader].ballot == ballot
     assert not fleet.stores[out].is_voter() or out in fleet.voters()
 
 
@@ -66,7 +70,7 @@
     assert fleet.world.until(lambda: out not in fleet.voters(), 30000)
     fleet.world.join()
     stale = fleet.stores[out]
-    stale.election.forget()
+    stale.election.forget_leader()
     stale.election.campaign()
     assert fleet.world.until(lambda: not stale.is_voter(), 3000)
     assert fleet.leaders() == [leader + 1]
@@ -158,10 +162,10 @@
 def test_a_store_outside_the_group_knows_the_group_by_the_leaders_word():
     fleet = settled_fleet(seed=7, core=8)
     fleet.world.run(4000)
-    group = fleet.stores[fleet.leaders()[0] - 1].chosen.group
+    group = fleet.stores[fleet.leaders()[0] - 1].committed.group
     for number, store in fleet.stores.items():
         if number not in fleet.voters():
-            assert set(store.known_group) == set(group)
+            assert set(store.group_view.newest_group) == set(group)
 
 
 # lost disks
@@ -177,7 +181,7 @@
     for pause_ms in (50, 300, 700, 1200, 2500):
         fleet = settled_fleet(seed=8)
         assert fleet.insist([1], "replace", config(2, 1))[0] == 200
-        holders = [n for n in fleet.voters() if fleet.stores[n].acceptor.accepted.version == 2]
+        holders = [n for n in fleet.voters() if fleet.stores[n].acceptor.vote.accepted.version == 2]
         first, second = holders[0], holders[1]
         lose_disk(fleet, first)
         fleet.world.run(400)
@@ -207,9 +211,11 @@
             if number == gone or not store.context.alive:
                 continue
             durable = store.acceptor.durable
-            assert durable is not None and durable.accepted.version == 2
+            assert durable is not None
+            assert durable.accepted.version == 2
             seen.add(number)
-    assert len(seen) == 5 and gone not in fleet.voters()
+    assert len(seen) == 5
+    assert gone not in fleet.voters()
 
 
 def test_a_voter_that_missed_a_change_gets_it_without_another():
@@ -272,16 +278,16 @@
             assert answer is None or answer[0] == 503, (name, answer)
     fleet.world.join()
     assert read_version(fleet, [leader]) == "r2"
-    assert fleet.stores[fleet.leaders()[0] - 1].chosen.evacuated == ()
+    assert fleet.stores[fleet.leaders()[0] - 1].committed.evacuated == ()
 
 
 def test_a_registry_cut_off_takes_no_beats_and_feeds_no_proxy():
     fleet = settled_fleet(seed=12, proxies=3)
     fleet.world.run(4000)
     number = next(
-        n for n, r in fleet.registries.items() if any(s for s in r.service.feeding.subscribers)
+        n for n, r in fleet.registries.items() if any(s for s in r.service.feeds.subscribers)
     )
-    fed = list(fleet.registries[number].service.feeding.subscribers)
+    fed = list(fleet.registries[number].service.feeds.subscribers)
     cut_off(fleet, [number])
     fleet.world.run(8000)
     got = []
@@ -290,13 +296,13 @@
         "details": {"service": "s", "zone": "a1", "slots": 2, "version": ""},
         "status": {"state": "ready", "callSeq": 9, "coldLeftMs": 0},
     }
-    fleet.registries[number].service.intake.beat(
-        "i-1", beat, lambda status, body: got.append(status)
+    send_heartbeat(
+        fleet.registries[number].service, "i-1", beat, lambda status, _body: got.append(status)
     )
     assert got == [503]
     for proxy in fleet.proxies.values():
-        if proxy.switchboard.address in fed:
-            assert proxy.feeder != fleet.registries[number].switchboard.address
+        if proxy.rpc.address in fed:
+            assert proxy.feed.feeder != fleet.registries[number].rpc.address
 
 
 def test_a_leader_that_thaws_answers_nothing_from_before():
@@ -305,8 +311,10 @@
         fleet = settled_fleet(seed=13)
         leader = fleet.leaders()[0] - 1
         got = []
-        fleet.stores[leader].orders.take("read", "", False, got.append)
-        fleet.stores[leader].orders.take("replace", config(9, 8), False, got.append)
+        fleet.stores[leader].commands.submit(CommandRequest("read", "", False), got.append)
+        fleet.stores[leader].commands.submit(
+            CommandRequest("replace", config(9, 8), False), got.append
+        )
         fleet.world.run(pause_ms)
         before = len(got)
         fleet.world.freeze(fleet.stores[leader].context, 20000)
@@ -328,13 +336,19 @@
         fleet.world.freeze(store.context, 9000)
         fleet.world.run(1)
         others = [number for number in range(6) if number != victim]
-        caller = fleet.registries[others[0]].switchboard
-        caller.call(store.address, 26, ["evacuate", "a1", False], 500, lambda *answer: None)
+        caller = fleet.registries[others[0]].rpc
+        caller.request_raw(
+            store.address,
+            MessageKind.COMMAND,
+            CommandRequest("evacuate", "a1", False),
+            lambda *_answer: None,
+            500,
+        )
         assert fleet.insist(others, "evacuate", "a1")[0] == 200
         assert fleet.insist(others, "takeBack", "a1")[0] == 200
         fleet.world.run(16000)
         assert fleet.world.until(lambda: len(fleet.leaders()) == 1, 10000)
-        assert fleet.stores[fleet.leaders()[0] - 1].chosen.evacuated == ()
+        assert fleet.stores[fleet.leaders()[0] - 1].committed.evacuated == ()
 
 
 def test_an_order_that_a_frozen_registry_finds_waiting_is_not_carried_out():
@@ -345,14 +359,18 @@
     fleet.world.run(1)
     got = []
     fleet.world.later(
-        9000, registry.service.register.order, "evacuate", "a1", lambda *answer: got.append(answer)
+        9000,
+        registry.service.configuration.send_command,
+        "evacuate",
+        "a1",
+        lambda *answer: got.append(answer),
     )
     others = [0, 1, 3, 4, 5]
     assert fleet.insist(others, "evacuate", "a1")[0] == 200
     assert fleet.insist(others, "takeBack", "a1")[0] == 200
     fleet.world.run(14000)
     assert [status for status, _ in got] == [503]
-    assert fleet.stores[fleet.leaders()[0] - 1].chosen.evacuated == ()
+    assert fleet.stores[fleet.leaders()[0] - 1].committed.evacuated == ()
 
 
 def test_an_order_is_given_up_when_its_caller_has_gone_on():
@@ -364,14 +382,16 @@
     fleet.world.cut_one_way([address(number)], [address(n) for n in range(6) if n != number])
     got = []
     started_ms = fleet.world.env.now
-    fleet.registries[number].service.register.order(
+    fleet.registries[number].service.configuration.send_command(
         "evacuate", "a1", lambda *answer: got.append((fleet.world.env.now, answer[0]))
     )
     fleet.world.run(6000)
-    assert got and got[0][1] == 503 and got[0][0] - started_ms <= 1100
+    assert got
+    assert got[0][1] == 503
+    assert got[0][0] - started_ms <= 1100
     fleet.world.join()
     fleet.world.run(4000)
-    assert fleet.stores[fleet.leaders()[0] - 1].chosen.evacuated == ()
+    assert fleet.stores[fleet.leaders()[0] - 1].committed.evacuated == ()
 
 
 # numbers and resends
@@ -380,11 +400,11 @@
 def lossy_order(fleet, number, payload, lost, got):
     """Sends a change to one registry; its answer is lost with a chance of `lost`."""
 
-    def answered(status, text):
+    def answered(status, _text):
         if fleet.world.random.random() >= lost:
             got.append(status)
 
-    fleet.registries[number].service.register.order("replace", payload, answered)
+    fleet.registries[number].service.configuration.send_command("replace", payload, answered)
 
 
 def test_a_change_sent_again_after_a_lost_answer_is_never_refused():
@@ -443,23 +463,23 @@
     for version in range(2, 202):
         assert fleet.insist([rest[version % 5]], "replace", config(version, version - 1))[0] == 200
     fleet.start_core(down, False)
-    assert fleet.world.until(lambda: fleet.stores[down].known_serial >= 200, 10000)
+    assert fleet.world.until(lambda: fleet.stores[down].group_view.newest_serial >= 200, 10000)
     for number in [n for n in fleet.voters() if n != down][:2]:
         fleet.kill_core(number)
     alive = [n for n in range(6) if fleet.running(n)]
     assert read_version(fleet, alive) == "r201"
     leading = fleet.stores[fleet.leaders()[0] - 1]
-    assert leading.chosen.version == 201
+    assert leading.committed.version == 201
 
 
 def test_the_record_of_changes_taken_stays_bounded_and_old_numbers_get_no_clear_answer(monkeypatch):
     """All versions ever taken lay in the value: 7 kB after 300 changes, 23 bytes more with each."""
-    monkeypatch.setattr(answered, "ANSWERED_KEPT", 24)
+    monkeypatch.setattr(change_history, "CHANGES_KEPT", 24)
     fleet = settled_fleet(seed=20)
     sizes = []
     for version in range(2, 82):
         assert fleet.insist([version % 6], "replace", config(version, version - 1))[0] == 200
-        sizes.append(len(fleet.stores[fleet.leaders()[0] - 1].chosen.packed))
+        sizes.append(len(fleet.stores[fleet.leaders()[0] - 1].committed.encoded))
     assert max(sizes[40:]) < sizes[30] * 1.1
     assert fleet.insist([0], "replace", config(81, 80))[0] == 200
     assert fleet.insist([0], "replace", config(70, 69))[0] == 200
@@ -473,18 +493,18 @@
 def test_a_registry_that_ends_in_order_hands_the_duties_seat_over():
     duties = '\n[platform]\naddress = "10.8.0.1:80"\nduties = ["usage_report"]\ndutyPerS = 50\n'
     fleet = settled_fleet(seed=21, more=duties)
-    nodes = {n: registry.duties for n, registry in fleet.registries.items()}
+    nodes = {n: registry.singleton for n, registry in fleet.registries.items()}
 
     def leading():
-        return [n for n, node in nodes.items() if node.context.alive and node.chosen is not None]
+        return [n for n, node in nodes.items() if node.context.alive and node.committed is not None]
 
     assert fleet.world.until(
-        lambda: leading() and len(nodes[leading()[0]].chosen.group) == 5, 30000
+        lambda: leading() and len(nodes[leading()[0]].committed.group) == 5, 30000
     )
-    group = [number_of(voter) for voter in nodes[leading()[0]].chosen.group]
+    group = [number_of(voter) for voter in nodes[leading()[0]].committed.group]
     for number in group[:3]:
         fleet.end_core(number)
         fleet.world.run(1500)
     assert fleet.world.until(lambda: not any(fleet.running(n) for n in group[:3]), 10000)
     assert fleet.world.until(lambda: bool(leading()), 10000)
-    assert not {number_of(v) for v in nodes[leading()[0]].chosen.group} & set(group[:3])
+    assert not {number_of(v) for v in nodes[leading()[0]].committed.group} & set(group[:3])
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from stagevale.configuration.disk import DiskRegister, Folder
+from stagevale.storage.folder import Folder
+from stagevale.storage.generations import GenerationFile
 
 FIRST, SECOND = b"first record " * 9, b"second record, longer than the first " * 11
 
@@ -22,7 +23,7 @@
 
 
 def saved(folder, *records):
-    register = DiskRegister(Folder(str(folder)))
+    register = GenerationFile(Folder(str(folder)))
     register.load()
     for record in records:
         register.save(record)
@@ -47,13 +48,14 @@
         for name, data in zip(fresh, (dat, index), strict=False):
             if data is not None:
                 (folder / name).write_bytes(data)
-        record = DiskRegister(Folder(str(folder))).load()
+        record = GenerationFile(Folder(str(folder))).load()
         assert record in (FIRST, SECOND)
         if dat == dat_bytes and index == dir_bytes:
             assert record == SECOND
         seen.add(record)
         register = saved(folder, b"third")
-        assert DiskRegister(Folder(str(folder))).load() == b"third" and register.generation > 1
+        assert GenerationFile(Folder(str(folder))).load() == b"third"
+        assert register.generation > 1
     assert seen == {FIRST, SECOND}
 
 
@@ -74,14 +76,14 @@
     saved(tmp_path, FIRST)
     folder = Failing(str(tmp_path))
     folder.left = left
-    register = DiskRegister(folder)
+    register = GenerationFile(folder)
     assert register.load() == FIRST
-    with pytest.raises(OSError):
+    with pytest.raises(OSError, match="the disk refuses"):
         register.save(SECOND)
-    assert DiskRegister(Folder(str(tmp_path))).load() in (FIRST, SECOND)
+    assert GenerationFile(Folder(str(tmp_path))).load() in (FIRST, SECOND)
     folder.left = 99
     register.save(b"third")
-    assert DiskRegister(Folder(str(tmp_path))).load() == b"third"
+    assert GenerationFile(Folder(str(tmp_path))).load() == b"third"
 
 
 def test_few_generations_stay(tmp_path):
@@ -90,6 +92,6 @@
 
 
 def test_an_empty_folder_holds_nothing(tmp_path):
-    assert DiskRegister(Folder(str(tmp_path))).load() is None
+    assert GenerationFile(Folder(str(tmp_path))).load() is None
     (tmp_path / "register-7.dir").write_bytes(b"\xff" * 50)
-    assert DiskRegister(Folder(str(tmp_path))).load() is None
+    assert GenerationFile(Folder(str(tmp_path))).load() is None
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -147,7 +147,7 @@
     programs = {name: Program(name, path) for name, path in files.items()}
     try:
         programs["store"].logs("elected leader of the configuration register")
-        programs["registry"].logs("won the duty for part-7")
+        programs["registry"].logs("owns shard part-7")
         for _ in range(20):
             status, text = call("127.0.0.1", control, "POST", "/v1/config/replace", config(1, 0))
             if status == 200:
@@ -266,22 +266,27 @@
         )
     )
     capsys.readouterr()
-    assert app(["rollouts", "show"] + at) == 0 and "no rollouts" in capsys.readouterr().out
+    assert app(["rollouts", "show"] + at) == 0
+    assert "no rollouts" in capsys.readouterr().out
     assert "404: service: nothing is not" in refused(
         ["rollouts", "start", "nothing", str(shift)] + at, capsys
     )
     assert app(["rollouts", "start", "s", str(tmp_path / "none.json")] + at) == 2
     assert app(["rollouts", "start", "s", str(shift)] + at) == 0
-    assert app(["rollouts", "pause", "s"] + at) == 0 and app(["rollouts", "resume", "s"] + at) == 0
+    assert app(["rollouts", "pause", "s"] + at) == 0
+    assert app(["rollouts", "resume", "s"] + at) == 0
     capsys.readouterr()
     assert app(["rollouts", "show", "s"] + at) == 1
     assert "v1 to v2, shifting, step 1 of 2, share 10%" in capsys.readouterr().out
     assert app(["rollouts", "rollback", "s"] + at) == 0
     assert "fallen back on every node" in capsys.readouterr().out
-    assert app(["rollouts", "promote", "s"] + at) == 1 and "409" in capsys.readouterr().err
-    assert app(["rollouts", "end", "s"] + at) == 0 and app(["rollouts", "show", "s"] + at) == 1
+    assert app(["rollouts", "promote", "s"] + at) == 1
+    assert "409" in capsys.readouterr().err
+    assert app(["rollouts", "end", "s"] + at) == 0
+    assert app(["rollouts", "show", "s"] + at) == 1
     capsys.readouterr()
-    assert app(["delays"] + at) == 1 and "is steering on" in capsys.readouterr().out
+    assert app(["delays"] + at) == 1
+    assert "is steering on" in capsys.readouterr().out
     assert app(["delays", "--control", "here"]) == 2
     capsys.readouterr()
     assert app(["sessions", "show", "fan-1"] + at) == 1
@@ -321,7 +326,9 @@
         capture_output=True,
         text=True,
     )
-    assert ended.returncode == 2 and word in ended.stderr and "Traceback" not in ended.stderr
+    assert ended.returncode == 2
+    assert word in ended.stderr
+    assert "Traceback" not in ended.stderr
 
 
 def test_files_with_faults(tmp_path, capsys):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -3,10 +3,12 @@
 """
 
 import asyncio
+import functools
 import json
 
 import pytest
-from simworld import Fleet
+from support.endpoints import status_of
+from support.fleet import Fleet
 
 PLATFORM = ("10.8.0.1", 80)
 DUTIES = '\n[platform]\naddress = "10.8.0.1:80"\nduties = ["usage_report"]\ndutyPerS = 50\n'
@@ -125,7 +127,7 @@
         for proxy in self.fleet.proxies.values():
             if proxy.context.alive:
                 for tenant in ("co-op", "trust"):
-                    proxy.forwarder.counts.began(tenant, self.world.env.now)
+                    proxy.forwarder.counts.count(tenant, self.world.env.now)
                     window = int((1.7e12 + self.world.env.now) // 5000)
                     counts = self.truth.setdefault(window, {})
                     counts[tenant] = counts.get(tenant, 0) + 1
@@ -134,12 +136,12 @@
         holding = [
             n
             for n, registry in self.fleet.registries.items()
-            if registry.context.alive and registry.duties.holds()
+            if registry.context.alive and registry.singleton.holds_role()
         ]
         return holding[-1] if holding else None
 
     def duty(self):
-        return self.fleet.registries[self.holder()].duties
+        return self.fleet.registries[self.holder()].singleton
 
     def window(self):
         return int((1.7e12 + self.world.env.now) // 5000)
@@ -169,11 +171,11 @@
     counts = days.platform.check()
     days.near(counts, 0.01)
     assert len(days.platform.calls) == len(counts)
-    assert {call["fence"] for call in days.platform.calls} == {days.duty().chosen.fence}
+    assert {call["fence"] for call in days.platform.calls} == {days.duty().committed.fencing_token}
 
 
 def test_a_window_that_ended_before_everything_lost_power_is_reported():
-    """Its counts are in memories only until it is chosen; it used to be chosen three seconds after
+    """Its counts are in memories only until it is committed; it used to be committed three seconds after
     its end.
     """
     days = Days()
@@ -209,14 +211,16 @@
 
 
 def leave_in_order(days, number):
-    days.fleet.registries[number].end()
+    days.fleet.registries[number].stop()
     days.world.later(4000, days.fleet.start_registry, number)
 
 
 STEPS = {
-    "before choosing": lambda days: days.duty().collecting,
+    "before choosing": lambda days: days.duty().collector.collecting,
     "while choosing": lambda days: days.duty().busy,
-    "chosen, not sent": lambda days: days.duty().calling is not None and not days.duty().busy,
+    "committed, not sent": lambda days: (
+        days.duty().sender.call is not None and not days.duty().busy
+    ),
     "sent, not answered": lambda days: (
         days.platform.calls and days.platform.calls[-1]["atMs"] >= days.world.env.now - 2
     ),
@@ -229,12 +233,12 @@
     days = Days(seed=3)
     days.world.run(9000)
     assert days.world.until(lambda: days.holder() is not None and STEPS[step](days), 15000, 1)
-    first, fence = days.holder(), days.duty().chosen.fence
+    first, fence = days.holder(), days.duty().committed.fencing_token
     strike(days, first)
     days.world.run(30000)
     counts = days.platform.check()
     days.near(counts)
-    assert days.duty().chosen.fence > fence
+    assert days.duty().committed.fencing_token > fence
     assert days.holder() != first or strike is leave_in_order
 
 
@@ -245,7 +249,7 @@
     first = days.holder()
     ip = f"10.0.0.{first + 1}"
     assert days.world.until(
-        lambda: days.holder() is not None and days.duty().calling is not None, 15000, 1
+        lambda: days.holder() is not None and days.duty().sender.call is not None, 15000, 1
     )
     days.world.delay = lambda one, other: (
         9000.0 if (one, other) == (ip, PLATFORM[0]) else held(one, other)
@@ -266,14 +270,14 @@
     for _ in range(4):
         for _number, registry in days.fleet.registries.items():
             if registry.context.alive:
-                registry.duties.election.campaign()
+                registry.singleton.election.campaign()
         days.world.run(1500)
     days.world.run(15000)
     days.platform.check()
     owners = [
-        registry.duties
+        registry.singleton
         for registry in days.fleet.registries.values()
-        if registry.context.alive and registry.duties.holds()
+        if registry.context.alive and registry.singleton.holds_role()
     ]
     assert len(owners) == 1
 
@@ -304,15 +308,16 @@
 def test_all_restarted_keep_fence_and_windows():
     days = Days(seed=7)
     days.world.run(16000)
-    fence = days.duty().chosen.fence
-    through = days.duty().chosen.through
+    fence = days.duty().committed.fencing_token
+    through = days.duty().committed.last_window
     for number in range(6):
         days.fleet.kill_core(number)
     days.world.run(500)
     for number in range(6):
         days.fleet.start_core(number, False)
     assert days.world.until(lambda: days.holder() is not None, 15000)
-    assert days.duty().chosen.fence > fence and days.duty().chosen.through >= through
+    assert days.duty().committed.fencing_token > fence
+    assert days.duty().committed.last_window >= through
     days.world.run(25000)
     days.near(days.platform.check())
 
@@ -320,8 +325,8 @@
 def test_disks_lost_within_tolerance_never_bring_a_fence_again():
     days = Days(seed=8)
     days.world.run(9000)
-    fences = [days.duty().chosen.fence]
-    group = days.duty().chosen.group
+    fences = [days.duty().committed.fencing_token]
+    group = days.duty().committed.group
     lost = [int(address.split(":")[0].split(".")[-1]) - 1 for address in group[:2]]
     for number in range(6):
         days.fleet.kill_core(number)
@@ -330,7 +335,7 @@
     for number in range(6):
         days.fleet.start_core(number, False)
     assert days.world.until(lambda: days.holder() is not None, 20000)
-    assert days.duty().chosen.fence > max(fences)
+    assert days.duty().committed.fencing_token > max(fences)
     days.world.run(20000)
     days.platform.check()
 
@@ -338,7 +343,7 @@
 def test_core_without_majority_does_nothing_at_the_platform():
     days = Days(seed=9)
     days.world.run(9000)
-    group = [int(address.split(":")[0].split(".")[-1]) for address in days.duty().chosen.group]
+    group = [int(address.split(":")[0].split(".")[-1]) for address in days.duty().committed.group]
     first = days.holder() + 1
     few = [first, next(number for number in group if number != first)]
     many = [number for number in range(1, 7) if number not in few]
@@ -386,14 +391,28 @@
     days = Days(seed=12)
     days.world.run(9000)
     for number in (0, 1, 2):
-        feeder = int(days.fleet.proxies[number].feeder.split(":")[0].split(".")[-1]) - 1
-        days.fleet.proxies[number].change_feeder("the test wants another")
-        days.fleet.proxies[number].shunned[days.fleet.registries[feeder].switchboard.address] = 1e12
+        feeder = int(days.fleet.proxies[number].feed.feeder.split(":")[0].split(".")[-1]) - 1
+        days.fleet.proxies[number].feed.drop_feeder("the test wants another")
+        days.fleet.proxies[number].feed.avoid_until_ms[
+            days.fleet.registries[feeder].rpc.address
+        ] = 1e12
         days.world.run(1500)
     days.world.run(16000)
     days.near(days.platform.check(), 0.01)
 
 
+def is_replaced(days, leaver):
+    """True once both groups are complete without a machine."""
+    owners = [k for k in days.fleet.stores.values() if k.context.alive and k.ballot and k.committed]
+    groups = [
+        duty.committed.group
+        for duty in owners[:1] + ([days.duty()] if days.holder() is not None else [])
+    ]
+    return len(groups) == 2 and all(
+        len(group) >= 5 and not any(leaver in address for address in group) for group in groups
+    )
+
+
 def test_core_machine_replaced_twice_running():
     """A machine leaves for good, without a word, and an empty one comes at another address; then
     another does.
@@ -405,21 +424,7 @@
         days.world.run(2000)
         days.fleet.start_core(comer, False)
         leaver = f"10.0.0.{gone + 1}:"
-
-        def done():
-            owners = [
-                k for k in days.fleet.stores.values() if k.context.alive and k.ballot and k.chosen
-            ]
-            groups = [
-                duty.chosen.group
-                for duty in owners[:1] + ([days.duty()] if days.holder() is not None else [])
-            ]
-            return len(groups) == 2 and all(
-                len(group) >= 5 and not any(leaver in address for address in group)
-                for group in groups
-            )
-
-        assert days.world.until(done, 40000)
+        assert days.world.until(functools.partial(is_replaced, days, leaver), 40000)
     assert days.fleet.insist([3], "evacuate", "b1") is not None
     alive = [n for n, keeper in days.fleet.stores.items() if keeper.context.alive]
     group = days.fleet.stores[alive[0]].group()
@@ -437,22 +442,22 @@
     days.world.run(16000)
     days.platform.shut()
     days.world.run(22000)
-    stand = days.fleet.registries[days.holder()].service.status()["duties"]["usage_report"]
-    assert (
-        stand["holder"] == f"node-10.0.0.{days.holder() + 1}"
-        and stand["holding"]
-        and stand["fence"] >= 1
-    )
-    assert stand["overdue"] and stand["pending"] and stand["sent"]
+    stand = status_of(days.fleet.registries[days.holder()])["duties"]["usage_report"]
+    assert stand["holder"] == f"node-10.0.0.{days.holder() + 1}"
+    assert stand["holding"]
+    assert stand["fence"] >= 1
+    assert stand["overdue"]
+    assert stand["pending"]
+    assert stand["sent"]
     from stagevale.doctoring import stand_faults
 
-    whole = days.fleet.registries[days.holder()].service.status()
+    whole = status_of(days.fleet.registries[days.holder()])
     assert any("overdue" in finding.fault for finding in stand_faults("here", whole))
     days.platform.open()
     days.world.run(8000)
     assert not any(
         "overdue" in finding.fault
-        for finding in stand_faults("here", days.fleet.registries[days.holder()].service.status())
+        for finding in stand_faults("here", status_of(days.fleet.registries[days.holder()]))
     )
 
 
@@ -460,7 +465,7 @@
     fleet = Fleet(1, 2)
     fleet.world.run(5000)
     assert all(
-        registry.duties is None and registry.service.ledger is None
+        registry.singleton is None and registry.service.usage is None
         for registry in fleet.registries.values()
     )
     assert all(proxy.forwarder.counts is None for proxy in fleet.proxies.values())
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -3,14 +3,14 @@
 """
 
 import pytest
-from approval import approve
-from standins import Scene, good, request, route
+from support.approval import approve
+from support.endpoints import Scene, good, request, route
 
-from stagevale.registrations import DRAINING
+from stagevale.discovery.instance import InstanceState
 
 
 def answers_with(status, head=b"", text=b"", with_id=True):
-    def rule(endpoint, fields, body):
+    def rule(_endpoint, fields, _body):
         id = b"Attempt-Id: " + fields[b"attempt-id"] + b"\r\n" if with_id else b""
         return (
             f"HTTP/1.1 {status} X\r\nContent-Length: {len(text)}\r\n".encode()
@@ -59,7 +59,8 @@
         b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     )
     scene.world.run(500)
-    assert bodies == [b"abcde"] and client.statuses() == ["200"]
+    assert bodies == [b"abcde"]
+    assert client.statuses() == ["200"]
 
 
 def test_pipelined_requests_are_answered_in_order():
@@ -98,20 +99,20 @@
 
 def test_connection_closed_halfway_ends_repeatable_requests():
     scene = Scene()
-    scene.endpoint(lambda endpoint, fields, body: None)
+    scene.endpoint(lambda _endpoint, _fields, _body: None)
     client = scene.client(request(id="1") + request(id="2"))
     scene.world.run(100)
     assert scene.proxy.forwarder.running == 2
     client.transport.abort()
     scene.world.run(100)
     assert scene.proxy.forwarder.running == 0
-    assert all(target.outstanding == 0 for target in scene.proxy.targets.values())
+    assert all(target.outstanding == 0 for target in scene.proxy.targets.by_id.values())
 
 
 def test_effectful_request_never_goes_out_twice_after_a_reset():
     scene = Scene()
-    one = scene.endpoint(lambda endpoint, fields, body: b"RESET")
-    two = scene.endpoint(lambda endpoint, fields, body: b"RESET")
+    one = scene.endpoint(lambda _endpoint, _fields, _body: b"RESET")
+    two = scene.endpoint(lambda _endpoint, _fields, _body: b"RESET")
     client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(2500)
     assert len(one.heads) + len(two.heads) == 1
@@ -132,7 +133,8 @@
     scene.resets = []
     client = scene.client(request(id="9"))
     scene.world.run(1000)
-    assert client.statuses() == ["200"] and len(scene.resets) == 2
+    assert client.statuses() == ["200"]
+    assert len(scene.resets) == 2
 
 
 def test_effectful_request_goes_on_after_proof_that_it_did_not_run():
@@ -168,8 +170,9 @@
     other = scene.endpoint(answers_with(421, b"Instance: i-other\r\n", with_id=False))
     client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(1000)
-    assert client.statuses() == ["503"] and b"Retry-After" in client.got
-    assert scene.proxy.targets[other.id].gone
+    assert client.statuses() == ["503"]
+    assert b"Retry-After" in client.got
+    assert scene.proxy.targets.by_id[other.id].gone
     scene.client(request("/e/x", "10", "POST", b"b"))
     scene.world.run(1000)
     assert len(other.heads) == 1
@@ -189,7 +192,8 @@
     scene.world.run(200)
     client.transport.write(request("/e/x", "2", "POST", b"b"))
     scene.world.run(500)
-    assert b"mine" in client.got and b"stray" not in client.got
+    assert b"mine" in client.got
+    assert b"stray" not in client.got
 
 
 def test_surplus_behind_an_answer_ends_the_endpoints_connection():
@@ -201,19 +205,20 @@
     scene.world.run(300)
     client.transport.write(request(id="2"))
     scene.world.run(300)
-    assert client.statuses() == ["200", "200"] and len(endpoint.connections) == 2
+    assert client.statuses() == ["200", "200"]
+    assert len(endpoint.connections) == 2
 
 
 def broken_answers():
     seal = b"Server-Seal: s\r\n"
     return {
         "no seal": answers_with(200, text=b"x"),
-        "other id": lambda e, f, b: (
+        "other id": lambda _e, _f, _b: (
             b"HTTP/1.1 200 OK\r\nAttempt-Id: 0\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx"
         ),
         "encoded": answers_with(200, seal + b"Content-Encoding: gzip\r\n", b"x"),
-        "no length, no seal": lambda e, f, b: b"HTTP/1.1 200 OK\r\nAttempt-Id: 1\r\n\r\nxx",
-        "garbage": lambda e, f, b: b"\x00\x01garbage\r\n\r\n",
+        "no length, no seal": lambda _e, _f, _b: b"HTTP/1.1 200 OK\r\nAttempt-Id: 1\r\n\r\nxx",
+        "garbage": lambda _e, _f, _b: b"\x00\x01garbage\r\n\r\n",
         "two lengths": answers_with(200, seal + b"Content-Length: 5\r\n", b"x"),
     }
 
@@ -227,10 +232,11 @@
     for transport in endpoint.connections:
         transport.close()
     scene.world.run(2500)
-    assert client.statuses() and client.statuses()[0] in ("502", "504")
+    assert client.statuses()
+    assert client.statuses()[0] in ("502", "504")
 
 
-def without_length(endpoint, fields, body):
+def without_length(endpoint, fields, _body):
     endpoint.ran.append(fields[b"attempt-id"].decode())
     return (
         b"HTTP/1.1 200 OK\r\nAttempt-Id: "
@@ -267,11 +273,12 @@
     client = scene.client(request("/e/x", "1", "POST", b"b"))
     scene.world.run(300)
     two = scene.endpoint(good)
-    scene.proxy.targets[two.id].eject_until_ms = scene.world.env.now + 100
+    scene.proxy.targets.by_id[two.id].eject_until_ms = scene.world.env.now + 100
     client.transport.write(request("/e/x", "2", "POST", b"b"))
     scene.world.run(1500)
     assert len(one.connections) == 1
-    assert client.statuses() == ["200", "502"] and "2" not in two.ran
+    assert client.statuses() == ["200", "502"]
+    assert "2" not in two.ran
 
 
 def test_a_connection_whose_request_was_answered_before_it_was_read_is_not_used_again():
@@ -285,14 +292,15 @@
     scene.world.run(300)
     client.transport.write(request("/e/x", "2", "POST", b"b"))
     scene.world.run(300)
-    assert client.statuses() == ["200", "200"] and len(endpoint.connections) == 2
+    assert client.statuses() == ["200", "200"]
+    assert len(endpoint.connections) == 2
 
 
 @pytest.mark.parametrize("way", ["close", "abort"])
 def test_a_client_that_has_gone_stops_the_work_on_what_may_be_repeated(way):
     """A closed side that was taken for a half-closed one kept endpoints at work."""
     scene = Scene()
-    endpoint = scene.endpoint(lambda endpoint, fields, body: None)
+    endpoint = scene.endpoint(lambda _endpoint, _fields, _body: None)
     client = scene.client(request(id="1"))
     scene.world.run(100)
     getattr(client.transport, way)()
@@ -311,8 +319,9 @@
     scene.world.run(50)
     scene.world.join()
     scene.world.run(2000)
-    assert endpoint.ran == [] and scene.proxy.forwarder.running == 0
-    assert all(target.outstanding == 0 for target in scene.proxy.targets.values())
+    assert endpoint.ran == []
+    assert scene.proxy.forwarder.running == 0
+    assert all(target.outstanding == 0 for target in scene.proxy.targets.by_id.values())
 
 
 def test_a_second_try_is_handed_no_more_time_than_is_left():
@@ -328,7 +337,8 @@
     scene.world.run(9000)
     client = scene.client(request(id="1").replace(b"Deadline-Ms: 1500", b"Deadline-Ms: 900"))
     scene.world.run(2000)
-    assert client.statuses() == ["200"] and len(handed) == 2
+    assert client.statuses() == ["200"]
+    assert len(handed) == 2
     assert 900 >= handed[0] > handed[1]
 
 
@@ -371,16 +381,18 @@
 def test_drained_and_evacuated_endpoints_get_nothing_new():
     scene = Scene()
     one, two = scene.endpoint(), scene.endpoint(zone="a2")
-    scene.tell(one.life(DRAINING, seq=2))
-    scene.tell(one.life(seq=1))
+    scene.update(one.instance(InstanceState.DRAINING, seq=2))
+    scene.update(one.instance(seq=1))
     for number in range(5):
         scene.client(request(id=str(number)))
     scene.world.run(300)
-    assert len(one.heads) == 0 and len(two.heads) == 5
-    scene.snapshot(scene.value.after(evacuated=("a2",)))
+    assert len(one.heads) == 0
+    assert len(two.heads) == 5
+    scene.snapshot(scene.value.changed(evacuated=("a2",)))
     client = scene.client(request(id="9"))
     scene.world.run(1000)
-    assert client.statuses() == ["503"] and len(two.heads) == 5
+    assert client.statuses() == ["503"]
+    assert len(two.heads) == 5
 
 
 def test_homes_bind_the_choice():
@@ -388,13 +400,14 @@
     near, far = scene.endpoint(), scene.endpoint(zone="b1")
     client = scene.client(request())
     scene.world.run(1000)
-    assert client.statuses() == ["200"] and (len(near.heads), len(far.heads)) == (0, 1)
+    assert client.statuses() == ["200"]
+    assert (len(near.heads), len(far.heads)) == (0, 1)
 
 
 def test_cold_endpoint_gets_its_share_a_second():
     scene = Scene()
     cold = scene.endpoint()
-    scene.tell(cold.life(cold_ms=3000, seq=2))
+    scene.update(cold.instance(cold_ms=3000, seq=2))
     for number in range(30):
         scene.client(request(id=str(number)))
         scene.world.run(30)
@@ -414,7 +427,7 @@
 
 def test_silent_endpoint_is_waited_for_until_the_deadline():
     scene = Scene()
-    scene.endpoint(lambda endpoint, fields, body: None)
+    scene.endpoint(lambda _endpoint, _fields, _body: None)
     client = scene.client(request("/e/x", "1", "POST", b"b"))
     scene.world.run(1400)
     assert client.got == b""
@@ -427,11 +440,13 @@
     scene.endpoint(lambda endpoint, fields, body: (good(endpoint, fields, body), 1000))
     client = scene.client(request("/e/x", "1", "POST", b"b"))
     scene.world.run(100)
-    scene.context.stopping = scene.proxy.ending = True
-    scene.proxy.end()
-    assert not scene.proxy.ready()
+    scene.context.stopping = scene.proxy.stopping = True
+    scene.proxy.stop()
+    assert not scene.proxy.is_ready()
     scene.world.run(4000)
-    assert client.statuses() == ["200"] and b"Connection: close" in client.got and client.closed
+    assert client.statuses() == ["200"]
+    assert b"Connection: close" in client.got
+    assert client.closed
     assert scene.context.stopped
 
 
@@ -449,12 +464,14 @@
     endpoints = [scene.endpoint(rule), scene.endpoint(rule)]
     client = scene.client(request(id="9"))
     scene.world.run(800)
-    assert client.statuses() == ["200"] and b"late" not in client.got
+    assert client.statuses() == ["200"]
+    assert b"late" not in client.got
     scene.world.run(1500)
     assert client.statuses() == ["200"]
     assert [len(endpoint.heads) for endpoint in endpoints] == [1, 1]
     assert all(
-        target.outstanding == 0 and target.open == 1 for target in scene.proxy.targets.values()
+        target.outstanding == 0 and target.open == 1
+        for target in scene.proxy.targets.by_id.values()
     )
 
 
@@ -467,13 +484,14 @@
     ]
     client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(1400)
-    assert client.statuses() == ["200"] and sum(len(endpoint.heads) for endpoint in endpoints) == 1
+    assert client.statuses() == ["200"]
+    assert sum(len(endpoint.heads) for endpoint in endpoints) == 1
 
 
 def test_new_requests_avoid_an_endpoint_that_has_fallen_silent():
     scene = Scene()
     scene.world.run(9000)
-    dark = scene.endpoint(lambda endpoint, fields, body: None)
+    dark = scene.endpoint(lambda _endpoint, _fields, _body: None)
     lit = scene.endpoint(zone="a2")
     for number in range(3):
         scene.client(request("/e/x", f"1{number}", "POST", b"b"))
@@ -482,7 +500,8 @@
     for number in range(6):
         scene.client(request("/e/x", f"2{number}", "POST", b"b"))
         scene.world.run(60)
-    assert len(dark.heads) == before and len(lit.heads) >= 6
+    assert len(dark.heads) == before
+    assert len(lit.heads) >= 6
 
 
 def test_an_endpoint_that_takes_no_connection_costs_a_request_little_time():
@@ -492,7 +511,8 @@
     scene.world.cut(["10.0.1.1"], [dark.ip])
     client = scene.client(request("/e/x", "9", "POST", b"b"))
     scene.world.run(450)
-    assert client.statuses() == ["200"] and len(lit.heads) == 1
+    assert client.statuses() == ["200"]
+    assert len(lit.heads) == 1
 
 
 def test_an_endpoint_that_others_keep_busy_counts_as_busy_when_word_of_it_is_old():
@@ -513,10 +533,11 @@
         scene.world.run(100)
     scene.world.run(6000)
     loads = [
-        scene.proxy.targets[endpoint.id].load(scene.world.env.now) for endpoint in (busy, calm)
+        scene.proxy.targets.by_id[endpoint.id].load(scene.world.env.now)
+        for endpoint in (busy, calm)
     ]
     assert loads[0] > loads[1] > 0
-    assert scene.proxy.targets[busy.id].load(scene.world.env.now + 20000) == 0, (
+    assert scene.proxy.targets.by_id[busy.id].load(scene.world.env.now + 20000) == 0, (
         "one that is not heard of is tried again"
     )
     before = len(busy.heads), len(calm.heads)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -2,6 +2,7 @@
 counts and never by time.
 """
 
+import functools
 import json
 import os
 import random
@@ -9,55 +10,54 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from simworld import Fleet
+from support.endpoints import send_heartbeat
+from support.fleet import Fleet
 from test_registrations import beat_of
 
-from stagevale import wire
-from stagevale.membership import clocks
-from stagevale.membership.state import (
-    COMPLETE,
-    DOWN,
-    EXITING,
-    JOINING,
-    LEAVING,
-    REMOVED,
-    UP,
-    GossipState,
-    Member,
-    Move,
-    from_message,
-    merged,
-)
-from stagevale.placement import part_of
-from stagevale.registrations import DRAINING, GONE, READY, Life, Lives, life_from_fields
+from stagevale.discovery.instance import Instance, InstanceState
+from stagevale.discovery.instance_table import InstanceTable
+from stagevale.membership import vector_clock
+from stagevale.membership.gossip_state import GossipState, Handoff, HandoffStatus, merge_states
+from stagevale.membership.member import Dot, Member, MemberState
+from stagevale.placement.shards import shard_of
+from stagevale.rpc import codec
+from stagevale.rpc.kinds import MessageKind
 
 sys.path.insert(
     0, os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "tools")
 )
 import capacity  # noqa: E402
 
-STATES = (JOINING, UP, LEAVING, EXITING, DOWN)
+STATES = (
+    MemberState.JOINING,
+    MemberState.UP,
+    MemberState.LEAVING,
+    MemberState.EXITING,
+    MemberState.DOWN,
+)
 
 
 def first(number):
     address = f"10.0.0.{number}:7200"
-    member = Member(address, number, 0, JOINING, "proxy", "a1", "a", "", [address, 1])
+    member = Member(
+        address, number, 0, MemberState.JOINING, "proxy", "a1", "a", "", Dot(address, 1)
+    )
     return GossipState({address: 1}, {address: member}, 0, {}, ())
 
 
 def content(state):
     return (
-        {address: member.rank() for address, member in state.members.items()},
+        {address: member.precedence() for address, member in state.members.items()},
         state.table_version,
         sorted(state.table.items()),
-        sorted((move.key(), move.status) for move in state.moves),
-        state.mark,
+        sorted((move.key(), move.status) for move in state.handoffs),
+        state.checksum,
     )
 
 
 def told(sender, base=None):
     """What would travel: packed and read again."""
-    return from_message(json.loads(json.dumps(sender.message(base))))
+    return GossipState.from_message(json.loads(json.dumps(sender.to_message(base))))
 
 
 def change(state, by, luck):
@@ -68,7 +68,9 @@
     members = dict(state.members)
     if kind < 2:
         address = luck.choice(sorted(members))
-        members[address] = members[address].at(max(members[address].state, luck.choice(STATES)))
+        members[address] = members[address].with_state(
+            max(members[address].state, luck.choice(STATES))
+        )
         return state.changed(by, members=members)
     if kind == 2:
         version = state.table_version + 1
@@ -76,10 +78,13 @@
             by,
             table_version=version,
             table={f"part-{n}": (by, str(version)) for n in range(3)},
-            moves=(Move("part-0", by, f"to-{version}", 0),),
+            handoffs=(Handoff("part-0", by, f"to-{version}", 0),),
         )
     return state.changed(
-        by, moves=tuple(Move(m.part, m.giver, m.taker, COMPLETE) for m in state.moves)
+        by,
+        handoffs=tuple(
+            Handoff(m.shard, m.source, m.target, HandoffStatus.COMPLETE) for m in state.handoffs
+        ),
     )
 
 
@@ -89,7 +94,7 @@
     luck = random.Random(seed)
     small = [first(number + 1) for number in range(count)]
     whole = list(small)
-    past = [{state.mark: state.counted()} for state in small]
+    past = [{state.checksum: state.counted_clock()} for state in small]
     for _ in range(steps):
         one, other = luck.sample(range(count), 2)
         if luck.random() < 0.5:
@@ -97,40 +102,52 @@
             small[one] = change(small[one], f"10.0.0.{one + 1}:7200", random.Random(drawn))
             whole[one] = change(whole[one], f"10.0.0.{one + 1}:7200", random.Random(drawn))
         else:
-            base = past[one].get(small[other].mark) or small[other].counted()
-            small[other] = merged(small[other], told(small[one], base))
-            whole[other] = merged(whole[other], told(whole[one]))
-        past[one][small[one].mark] = small[one].counted()
+            base = past[one].get(small[other].checksum) or small[other].counted_clock()
+            small[other] = merge_states(small[other], told(small[one], base))
+            whole[other] = merge_states(whole[other], told(whole[one]))
+        past[one][small[one].checksum] = small[one].counted_clock()
         assert [content(state) for state in small] == [content(state) for state in whole]
 
 
 def test_a_peer_a_change_behind_gets_one_row_and_not_the_fleet():
     state = first(1)
     for number in range(2, 200):
-        state = merged(state, first(number))
-    base = state.counted()
+        state = merge_states(state, first(number))
+    base = state.counted_clock()
     address = "10.0.0.77:7200"
     after = state.changed(
-        "10.0.0.1:7200", members={**state.members, address: state.members[address].at(UP)}
+        "10.0.0.1:7200",
+        members={**state.members, address: state.members[address].with_state(MemberState.UP)},
     )
-    clock, rows, version, table, moves, dots = after.message(base)
-    assert len(rows) == 1 and len(clock) == 1 and not table and not moves and not dots
-    assert merged(state, told(after, base)).mark == after.mark
-    assert clocks.covers(after.counted(), after.members[address].dot)
+    clock, rows, version, table, moves, dots = after.to_message(base)
+    assert len(rows) == 1
+    assert len(clock) == 1
+    assert not table
+    assert not moves
+    assert not dots
+    assert merge_states(state, told(after, base)).checksum == after.checksum
+    assert vector_clock.covers(after.counted_clock(), after.members[address].dot)
 
 
 def test_removed_members_that_come_back_reach_a_peer_that_removed_them():
     """Its counter stands in the peer's clock but compares as nothing, so it must not count as
     known.
     """
-    state = merged(first(1), first(2))
+    state = merge_states(first(1), first(2))
     gone = state.changed(
         "10.0.0.1:7200",
-        members={**state.members, "10.0.0.2:7200": state.members["10.0.0.2:7200"].at(REMOVED)},
+        members={
+            **state.members,
+            "10.0.0.2:7200": state.members["10.0.0.2:7200"].with_state(MemberState.REMOVED),
+        },
     )
-    comer = Member("10.0.0.2:7200", 9, 1, JOINING, "proxy", "a1", "a", "", ["10.0.0.2:7200", 1])
-    back = merged(gone, GossipState({"10.0.0.2:7200": 1}, {"10.0.0.2:7200": comer}, 0, {}, ()))
-    assert merged(gone, told(back, gone.counted())).members["10.0.0.2:7200"].uid == 9
+    comer = Member(
+        "10.0.0.2:7200", 9, 1, MemberState.JOINING, "proxy", "a1", "a", "", Dot("10.0.0.2:7200", 1)
+    )
+    back = merge_states(
+        gone, GossipState({"10.0.0.2:7200": 1}, {"10.0.0.2:7200": comer}, 0, {}, ())
+    )
+    assert merge_states(gone, told(back, gone.counted_clock())).members["10.0.0.2:7200"].uid == 9
 
 
 def test_bytes_of_a_restart_for_each_daemon_stay_bounded_as_the_fleet_doubles():
@@ -140,27 +157,29 @@
         growth = larger["daemons"] / smaller["daemons"]
         assert larger["calmBytesPerS"] < smaller["calmBytesPerS"] * growth * 2.0
         assert larger["restartKb"] < smaller["restartKb"] * growth * 2.0
-    assert rows[-1]["restartKb"] < 56 and rows[-1]["largestBytes"] < 3000
+    assert rows[-1]["restartKb"] < 56
+    assert rows[-1]["largestBytes"] < 3000
 
 
 def test_welcomes_and_configurations_rise_in_proportion():
     few, many = capacity.endpoints_row(200, 10), capacity.endpoints_row(800, 40)
     assert many["welcomeBytes"] < few["welcomeBytes"] * 5
     few, many = capacity.configuration_row(50, 200, 10), capacity.configuration_row(200, 800, 40)
-    assert many["packedBytes"] < few["packedBytes"] * 5 and many["hosts"] == 50
+    assert many["packedBytes"] < few["packedBytes"] * 5
+    assert many["hosts"] == 50
     assert capacity.beats_row(5)["targetBytes"] > 0
-    rows = wire.pack_rows([["i-1", "s", 1]] * 500)
-    assert len(rows) < 1000 and wire.unpack_rows(rows) == [["i-1", "s", 1]] * 500
+    rows = codec.encode_rows([["i-1", "s", 1]] * 500)
+    assert len(rows) < 1000
+    assert codec.decode_rows(rows) == [["i-1", "s", 1]] * 500
 
 
 def test_slope_and_words_of_the_tool(capsys):
     assert capacity.slope([{"x": 1, "y": 3.0}, {"x": 3, "y": 7.0}], "y", "x") == (1.0, 2.0)
-    assert capacity.main(["nothing"]) == 2 and capacity.main(["choice", "x"]) == 2
+    assert capacity.main(["nothing"]) == 2
+    assert capacity.main(["choice", "x"]) == 2
     assert "want a part" in capsys.readouterr().err
-    assert (
-        capacity.main(["choice", "3"]) == 0
-        and json.loads(capsys.readouterr().out)["endpointsOfOneService"] == 3
-    )
+    assert capacity.main(["choice", "3"]) == 0
+    assert json.loads(capsys.readouterr().out)["endpointsOfOneService"] == 3
 
 
 def test_repair_of_a_part_brings_what_differs_and_not_the_part():
@@ -168,27 +187,33 @@
     start of 96 daemons.
     """
 
-    def life(number, state=READY, seq=1):
-        return Life(f"i-{number}", "s", f"10.9.0.{number}:80", "a1", 3, state, seq, 0, 0, 0)
+    def life(number, state=InstanceState.READY, seq=1):
+        return Instance(f"i-{number}", "s", f"10.9.0.{number}:80", "a1", 3, state, seq, 0, 0, 0)
 
-    one, other = Lives(), Lives()
+    one, other = InstanceTable(), InstanceTable()
     for number in range(400):
         one.merge(life(number), 0)
         if number != 7:
             other.merge(
-                life(number, DRAINING if number == 9 else READY, 2 if number == 9 else 1), 0
+                life(
+                    number,
+                    InstanceState.DRAINING if number == 9 else InstanceState.READY,
+                    2 if number == 9 else 1,
+                ),
+                0,
             )
     other.merge(life(500), 0)
-    part = part_of("s")
-    rows, keys = other.differing(part, one.summary(part), 0)
+    part = shard_of("s")
+    rows, keys = other.difference(part, one.summary(part), 0)
     assert sorted(row[0] for row in rows) == ["i-500", "i-9"]
     assert {one.by_key[key].id for key in keys} == {"i-7", "i-9"}
-    assert one.mark(part) != other.mark(part)
+    assert one.checksum(part) != other.checksum(part)
     for row in rows:
-        one.merge(life_from_fields(row, 0), 0)
+        one.merge(Instance.from_row(row, 0), 0)
     for key in keys:
         other.merge(one.by_key[key], 0)
-    assert one.mark(part) == other.mark(part) and other.differing(part, one.summary(part), 0) == (
+    assert one.checksum(part) == other.checksum(part)
+    assert other.difference(part, one.summary(part), 0) == (
         [],
         [],
     )
@@ -198,7 +223,7 @@
     st.lists(
         st.tuples(
             st.integers(0, 6),
-            st.sampled_from((READY, DRAINING, GONE)),
+            st.sampled_from((InstanceState.READY, InstanceState.DRAINING, InstanceState.GONE)),
             st.integers(1, 9),
             st.integers(0, 9),
         ),
@@ -211,10 +236,10 @@
     """Equal knowledge has equal marks, whatever the order in which it came and what was forgotten
     since.
     """
-    lives, again = Lives(), Lives()
+    lives, again = InstanceTable(), InstanceTable()
     for step, (number, state, seq, unhealthy_at) in enumerate(news):
         lives.merge(
-            Life(
+            Instance(
                 f"i-{number}",
                 f"s{number % 3}",
                 "10.9.0.1:80",
@@ -232,29 +257,40 @@
             lives.forget(step - 5, step - 5)
     for life in luck.sample(list(lives.by_id.values()), len(lives.by_id)):
         again.merge(life, 0)
-    assert lives.mark_of_all() == again.mark_of_all()
+    assert lives.checksum_of_all() == again.checksum_of_all()
 
 
 def test_bytes_over_borders_when_endpoints_drain_do_not_rise_with_all_endpoints():
     crossed = []
     for count in (60, 240):
         fleet = Fleet(5)
-        assert fleet.world.until(lambda: fleet.formed(12), 25000)
+        assert fleet.world.until(functools.partial(fleet.formed, 12), 25000)
         for number in range(count):
             for seq in (1, 2):
-                fleet.registries[number % 6].service.intake.beat(
-                    f"i-{number}", beat_of(f"i-{number}", seq=seq), lambda *_: None
+                send_heartbeat(
+                    fleet.registries[number % 6].service,
+                    f"i-{number}",
+                    beat_of(f"i-{number}", seq=seq),
+                    lambda *_: None,
                 )
         fleet.world.run(4000)
         before = fleet.world.crossed
         for number in range(6):
-            fleet.registries[number].service.intake.beat(
-                f"i-{number}", beat_of(f"i-{number}", "draining", 3), lambda *_: None
+            send_heartbeat(
+                fleet.registries[number].service,
+                f"i-{number}",
+                beat_of(f"i-{number}", "draining", 3),
+                lambda *_: None,
             )
         fleet.world.run(3000)
         crossed.append(fleet.world.crossed - before)
         assert (
-            len({registry.service.lives.mark_of_all() for registry in fleet.registries.values()})
+            len(
+                {
+                    registry.service.instances.checksum_of_all()
+                    for registry in fleet.registries.values()
+                }
+            )
             == 1
         )
     assert crossed[1] < crossed[0] * 1.5
@@ -279,19 +315,18 @@
     """
     fleet, heard = Fleet(7, 36), []
     for number in range(4):
-        fleet.registries[0].service.intake.beat(
-            f"i-{number}", beat_of(f"i-{number}"), lambda *_: None
+        send_heartbeat(
+            fleet.registries[0].service, f"i-{number}", beat_of(f"i-{number}"), lambda *_: None
         )
-    switchboard = fleet.registries[5].service.switchboard
-    handler = switchboard.handlers[wire.ATTACHED]
-    switchboard.on(
-        wire.ATTACHED,
+    rpc = fleet.registries[5].service.rpc
+    handler = rpc.handlers[MessageKind.SUBSCRIBED_PROXIES]
+    rpc.handle_raw(
+        MessageKind.SUBSCRIBED_PROXIES,
         lambda peer, body, reply: (heard.append(len(body)), handler(peer, body, reply)),
     )
     assert fleet.world.until(lambda: fleet.formed(48), 40000)
     fleet.world.run(2000)
-    told = {
-        row[0] for rows in fleet.registries[5].service.feeding.attached.values() for row in rows
-    }
-    assert len(told) + len(fleet.registries[5].service.feeding.subscribers) == 36
-    assert sum(heard) >= len(told) and len(heard) < 20
+    told = {row[0] for rows in fleet.registries[5].service.proxies.fed_by.values() for row in rows}
+    assert len(told) + len(fleet.registries[5].service.feeds.subscribers) == 36
+    assert sum(heard) >= len(told)
+    assert len(heard) < 20
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -7,12 +7,13 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from simworld import Fleet
-from standins import Endpoint, client_at, good, request
+from support.endpoints import Endpoint, client_at, good, request
+from support.fleet import Fleet
 
-from stagevale.leases import wait_ms
-from stagevale.partners import merged_table
-from stagevale.partners.checking import read_offer
+from stagevale.configuration.value import StoredOffer
+from stagevale.leases.lease import longest_use_ms
+from stagevale.partners.documents import check_offer
+from stagevale.partners.table import merge_offers
 
 ZONES = {"a1": "a", "b1": "b", "c1": "c"}
 CONFIG = {
@@ -102,14 +103,13 @@
 @given(OFFERS, st.randoms(use_true_random=False))
 @settings(max_examples=150, deadline=None, database=None, derandomize=True)
 def test_any_order_of_arrival_gives_one_table(offers, luck):
-    kept = {name: (1, written(*parts)) for name, parts in offers.items()}
+    kept = {name: StoredOffer(1, written(*parts)) for name, parts in offers.items()}
     shuffled = list(kept.items())
     luck.shuffle(shuffled)
-    one, other = merged_table(CONFIG, kept), merged_table(CONFIG, dict(shuffled))
-    assert one.mark == other.mark and [r.fields() for r in one.rows] == [
-        r.fields() for r in other.rows
-    ]
-    assert all(r.reason for r in one.rows)
+    one, other = merge_offers(CONFIG, kept), merge_offers(CONFIG, dict(shuffled))
+    assert one.mark == other.mark
+    assert [r.to_row() for r in one.routes] == [r.to_row() for r in other.routes]
+    assert all(r.reason for r in one.routes)
 
 
 @given(
@@ -122,7 +122,9 @@
 def test_no_request_is_taken_on_a_withheld_path_nor_slips_to_a_wider_route(
     offers, prefix, zone, tenant
 ):
-    table = merged_table(CONFIG, {name: (1, written(*parts)) for name, parts in offers.items()})
+    table = merge_offers(
+        CONFIG, {name: StoredOffer(1, written(*parts)) for name, parts in offers.items()}
+    )
     path = prefix + "request"
     won = table.find("h.example", path, zone, ZONES[zone], tenant)
     if won is None:
@@ -131,7 +133,8 @@
     longest = max(
         (entry for entry in routes if path.startswith(entry[0])), key=lambda entry: len(entry[0])
     )
-    assert won.prefix == longest[0] and longest[2] != "gone"
+    assert won.prefix == longest[0]
+    assert longest[2] != "gone"
     for held, whom, variant in restrictions:
         bound = (
             whom.get("everybody")
@@ -144,10 +147,10 @@
 
 
 def test_every_row_says_what_kept_or_dropped_it():
-    table = merged_table(
+    table = merge_offers(
         CONFIG,
         {
-            "bee": (
+            "bee": StoredOffer(
                 4,
                 offer(
                     4,
@@ -158,10 +161,10 @@
                     ],
                 ),
             ),
-            "cat": (2, offer(2, [row("/w/"), row("/z/")])),
+            "cat": StoredOffer(2, offer(2, [row("/w/"), row("/z/")])),
         },
     )
-    reasons = {(r.partner, r.prefix): (r.kept, r.reason) for r in table.rows}
+    reasons = {(r.partner, r.prefix): (r.kept, r.reason) for r in table.routes}
     assert reasons[("bee", "/own/")] == (False, "own route own has this host and prefix")
     assert reasons[("bee", "/n/")] == (False, "service none is not in the configuration")
     assert reasons[("bee", "/w/x/")] == (False, "restriction closed: /w/x/ from everybody")
@@ -220,8 +223,10 @@
     ],
 )
 def test_bad_offers_name_the_field(text, field):
-    checked = read_offer("bee", text, CONFIG, {}, ZONES)
-    assert checked.is_error() and checked.error.status == 400 and field in checked.error.reason
+    checked = check_offer("bee", text, CONFIG, {}, ZONES)
+    assert checked.is_error()
+    assert checked.error.status == 400
+    assert field in checked.error.reason
 
 
 class Yard:
@@ -239,18 +244,20 @@
         self.arrivals, self.number, self.clients, self.every = [], 0, [], 40
         for place, zone in enumerate(("a1", "b1", "c1")):
             endpoint = Endpoint(self.world, place + 1, self.run, zone)
-            life = endpoint.life()
-            self.fleet.registries[place].service.intake.take_in(life, lambda status, body: None)
+            life = endpoint.instance()
+            self.fleet.registries[place].service.heartbeats.heartbeat(
+                life, lambda _status, _body: None
+            )
             self.beat(place, endpoint, 2)
         assert self.world.until(
-            lambda: all(len(p.targets) == 3 for p in self.fleet.proxies.values()), 5000
+            lambda: all(len(p.targets.by_id) == 3 for p in self.fleet.proxies.values()), 5000
         )
 
     def beat(self, place, endpoint, seq):
         self.world.later(1500, self.beat, place, endpoint, seq + 1)
         if self.fleet.registries[place].context.alive:
-            self.fleet.registries[place].service.intake.take_in(
-                endpoint.life(seq=seq), lambda status, body: None
+            self.fleet.registries[place].service.heartbeats.heartbeat(
+                endpoint.instance(seq=seq), lambda _status, _body: None
             )
 
     def run(self, endpoint, fields, body):
@@ -306,7 +313,7 @@
 
 
 def kill_feeder(yard):
-    number = int(yard.fleet.proxies[0].feeder.split(":")[0].split(".")[-1]) - 1
+    number = int(yard.fleet.proxies[0].feed.feeder.split(":")[0].split(".")[-1]) - 1
     yard.fleet.kill_core(number)
 
 
@@ -346,12 +353,13 @@
     start_ms = yard.world.env.now
     assert yard.fleet.insist([0, 1, 2, 3, 4, 5], "withdraw", "bee", 30000)[0] == 200
     ack_ms = yard.world.env.now
-    assert ack_ms - start_ms >= wait_ms(yard.fleet.proxies[0].context.settings.bounds) * 0.9
+    assert ack_ms - start_ms >= longest_use_ms(yard.fleet.proxies[0].context.settings.bounds) * 0.9
     yard.world.run(3000)
     assert not yard.ran(ack_ms + 1)
     clients = [yard.send(0, "/w/x/late"), yard.send(0, "/own/now")]
     yard.world.run(800)
-    assert clients[0].statuses()[:1] == ["503"] and b"Retry-After" in clients[0].got
+    assert clients[0].statuses()[:1] == ["503"]
+    assert b"Retry-After" in clients[0].got
     assert clients[1].statuses() == ["200", "200"]
     assert yard.fleet.insist([1], "withdraw", "nobody")[0] == 404
     assert yard.fleet.insist([1], "readOffer", "bee")[0] == 404
@@ -367,13 +375,13 @@
     asked = (owner + 1) % 6
     payload = "bee\n" + offer(2, [row("/z/")], [], 1)
     got = []
-    yard.fleet.registries[asked].service.register.order(
+    yard.fleet.registries[asked].service.configuration.send_command(
         "offer", payload, lambda status, text: got.append((status, text))
     )
     others = [keeper for number, keeper in yard.fleet.stores.items() if number != owner]
     assert yard.world.until(
         lambda: any(
-            k.acceptor.accepted and k.acceptor.accepted.offers.get("bee", (0,))[0] == 2
+            k.acceptor.vote.accepted and k.acceptor.vote.accepted.offers.get("bee", (0,))[0] == 2
             for k in others
         ),
         3000,
@@ -396,10 +404,10 @@
     assert yard.fleet.insist([1], "offer", "bee\n" + offer(3, [row("/z/")], [], 3))[0] == 400
     answers = []
     for number, path in ((1, "/one/"), (2, "/two/")):
-        yard.fleet.registries[number].service.register.order(
+        yard.fleet.registries[number].service.configuration.send_command(
             "offer",
             "bee\n" + offer(6, [row(path)], [], 3),
-            lambda status, text, path=path: answers.append((path, status)),
+            lambda status, _text, path=path: answers.append((path, status)),
         )
     assert yard.world.until(lambda: len(answers) == 2, 9000)
     assert sorted(status for _, status in answers) == [200, 412]
@@ -409,7 +417,8 @@
         yard.fleet.start_core(number, False)
     status, text = yard.fleet.insist(range(6), "readOffer", "bee")
     winner = next(path for path, status in answers if status == 200)
-    assert status == 200 and json.loads(text)["routes"][0]["pathPrefix"] == winner
+    assert status == 200
+    assert json.loads(text)["routes"][0]["pathPrefix"] == winner
 
 
 def test_the_table_reads_alike_on_every_daemon_and_a_lost_service_drops_its_rows():
@@ -419,27 +428,28 @@
     yard.world.run(4000)
     marks = {proxy.forwarder.snapshot.partners.mark for proxy in yard.fleet.proxies.values()}
     marks |= {
-        registry.service.register.partners.mark for registry in yard.fleet.registries.values()
+        registry.service.configuration.partners.mark for registry in yard.fleet.registries.values()
     }
     assert len(marks) == 1
     shown = []
-    yard.fleet.registries[0].service.views.partner_table(
-        lambda status, body: shown.append((status, body))
-    )
-    yard.fleet.registries[1].service.views.explain(
+    yard.fleet.registries[0].api.partners.show(lambda status, body: shown.append((status, body)))
+    yard.fleet.registries[1].api.partners.explain(
         {"host": ["h.example"], "path": ["/w/1"], "zone": ["b1"]},
         lambda status, body: shown.append((status, body)),
     )
     assert yard.world.until(lambda: len(shown) == 2, 3000)
-    assert shown[0][0] == 200 and {r["mark"] for r in shown[0][1]["proxies"]} <= marks
-    assert shown[1][1]["won"] == "partner ant, /w/" and len(shown[1][1]["weighed"]) == 2
+    assert shown[0][0] == 200
+    assert {r["mark"] for r in shown[0][1]["proxies"]} <= marks
+    assert shown[1][1]["won"] == "partner ant, /w/"
+    assert len(shown[1][1]["weighed"]) == 2
     less = {**CONFIG, "version": "r2", "parentVersion": "r1", "services": CONFIG["services"][:1]}
     assert yard.fleet.insist([0], "replace", json.dumps(less))[0] == 200
     yard.world.run(2000)
     rows = {
-        (r.partner, r.prefix): r for r in yard.fleet.proxies[0].forwarder.snapshot.partners.rows
+        (r.partner, r.prefix): r for r in yard.fleet.proxies[0].forwarder.snapshot.partners.routes
     }
-    assert not rows[("bee", "/w/")].kept and "service t is not" in rows[("bee", "/w/")].reason
+    assert not rows[("bee", "/w/")].kept
+    assert "service t is not" in rows[("bee", "/w/")].reason
     assert rows[("bee", "/z/")].kept
 
 
@@ -449,11 +459,10 @@
     yard.world.cut(["10.0.0.6"], [f"10.0.0.{n}" for n in range(1, 6)])
     yard.world.run(3000)
     shown = []
-    yard.fleet.registries[5].service.views.partner_table(
-        lambda status, body: shown.append((status, body))
-    )
+    yard.fleet.registries[5].api.partners.show(lambda status, body: shown.append((status, body)))
     assert yard.world.until(lambda: shown, 9000)
-    assert shown[0][0] == 503 and "majority" in shown[0][1]["error"]
+    assert shown[0][0] == 503
+    assert "majority" in shown[0][1]["error"]
 
 
 def test_without_offers_nothing_is_asked_and_nothing_is_stored():
@@ -461,9 +470,9 @@
     assert fleet.world.until(lambda: fleet.leaders() and fleet.formed(14), 20000)
     assert fleet.insist([0], "replace", json.dumps(CONFIG))[0] == 200
     fleet.world.run(3000)
-    assert all(proxy.forwarder.lease.ask_number == 0 for proxy in fleet.proxies.values())
+    assert all(proxy.forwarder.lease.last_number == 0 for proxy in fleet.proxies.values())
     assert not any(
-        registry.service.register.partners.rows for registry in fleet.registries.values()
+        registry.service.configuration.partners.routes for registry in fleet.registries.values()
     )
 
 
@@ -472,7 +481,9 @@
     library's words around it.
     """
     table = {"version": "r1", "routes": [], "restrictions": [{"name": "n", "host": "h"}]}
-    wrong = read_offer("coop", json.dumps(table), {"services": []}, {}, {}).error
-    assert wrong.status == 400 and "withholds: is required" in wrong.reason
-    assert "not JSON" not in wrong.reason and "DataError" not in wrong.reason
-    assert "not JSON" in read_offer("coop", "{", {"services": []}, {}, {}).error.reason
+    wrong = check_offer("coop", json.dumps(table), {"services": []}, {}, {}).error
+    assert wrong.status == 400
+    assert "withholds: is required" in wrong.reason
+    assert "not JSON" not in wrong.reason
+    assert "DataError" not in wrong.reason
+    assert "not JSON" in check_offer("coop", "{", {"services": []}, {}, {}).error.reason
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -3,7 +3,7 @@
 import sys
 
 import pytest
-from standins import Scene, request
+from support.endpoints import Scene, request
 
 from stagevale.balancing.policies import FAILURES_BORNE, Policy, PolicyFailure, load_policy
 
@@ -20,7 +20,7 @@
     scene = Scene()
     near, far = scene.endpoint(), scene.endpoint(zone="b1")
     out = scene.endpoint(zone="a2")
-    scene.snapshot(scene.value.after(evacuated=("a2",)))
+    scene.snapshot(scene.value.changed(evacuated=("a2",)))
     scene.proxy.forwarder.chooser.policy = Policy(
         'return function(request, e) return e.zone == "b1" and 1 or e.zone == "a2" and 0 or 1000 end',
         Quiet(),
@@ -59,11 +59,14 @@
     scene.proxy.forwarder.chooser.policy = Policy(f"return function(request, e) {body} end", log)
     client = scene.client(request())
     scene.world.run(1000)
-    assert client.statuses() == ["200"] and len(near.heads) == 1 and log.lines
+    assert client.statuses() == ["200"]
+    assert len(near.heads) == 1
+    assert log.lines
     for number in range(FAILURES_BORNE):
         scene.client(request(id=f"1{number}"))
         scene.world.run(100)
-    assert len(log.lines) == FAILURES_BORNE and "left out" in log.lines[-1]
+    assert len(log.lines) == FAILURES_BORNE
+    assert "left out" in log.lines[-1]
 
 
 @pytest.mark.parametrize(
@@ -87,5 +90,5 @@
 def test_without_a_policy_lua_is_not_loaded():
     import subprocess
 
-    code = "import sys, stagevale.programs.proxy; sys.exit(any(name.startswith('lupa') for name in sys.modules))"
+    code = "import sys, stagevale.daemons.proxy; sys.exit(any(name.startswith('lupa') for name in sys.modules))"
     assert subprocess.run([sys.executable, "-c", code]).returncode == 0
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -2,10 +2,12 @@
 
 import json
 
-from approval import approve
-from simworld import Fleet
+from support.approval import approve
+from support.fleet import Fleet
 
-from stagevale.configuration.value import Value
+from stagevale.configuration.value import ConfigurationValue
+from stagevale.consensus.commands import CommandRequest
+from stagevale.quorum.ballot import NO_BALLOT
 
 
 def config(version, parent, host="h.example", service="s"):
@@ -34,13 +36,13 @@
     assert fleet.world.until(
         lambda: len(fleet.leaders()) == 1 and fleet.formed(12 + proxies), 20000
     )
-    fleet.world.until(lambda: len(fleet.stores[fleet.leaders()[0] - 1].chosen.group) == 5, 20000)
+    fleet.world.until(lambda: len(fleet.stores[fleet.leaders()[0] - 1].committed.group) == 5, 20000)
     return fleet
 
 
 def test_group_grows_to_bear_two_losses():
     fleet = formed_fleet()
-    group = fleet.stores[fleet.leaders()[0] - 1].chosen.group
+    group = fleet.stores[fleet.leaders()[0] - 1].committed.group
     assert len(group) == 5
     assert {"10.0.0.1:7201", "10.0.0.2:7201", "10.0.0.3:7201"} < set(group)
 
@@ -72,10 +74,10 @@
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     answers = []
     for number, host in ((1, "one.example"), (4, "two.example")):
-        fleet.registries[number].service.register.order(
+        fleet.registries[number].service.configuration.send_command(
             "replace",
             config(2, 1, host=host),
-            lambda status, text, host=host: answers.append((host, status)),
+            lambda status, _text, host=host: answers.append((host, status)),
         )
     fleet.world.until(lambda: len(answers) == 2, 5000)
     assert sorted(status for _, status in answers) == [200, 412]
@@ -89,10 +91,14 @@
     owner = fleet.leaders()[0] - 1
     asked = (owner + 1) % 6
     payload = config(2, 1)
-    fleet.registries[asked].service.register.order("replace", payload, lambda status, text: None)
+    fleet.registries[asked].service.configuration.send_command(
+        "replace", payload, lambda _status, _text: None
+    )
     others = [keeper for number, keeper in fleet.stores.items() if number != owner]
     assert fleet.world.until(
-        lambda: any(k.acceptor.accepted and k.acceptor.accepted.version == 2 for k in others),
+        lambda: any(
+            k.acceptor.vote.accepted and k.acceptor.vote.accepted.version == 2 for k in others
+        ),
         3000,
         1,
     )
@@ -113,7 +119,7 @@
     holders = [
         n
         for n, k in fleet.stores.items()
-        if k.acceptor.accepted is not None and k.acceptor.accepted.version == 1
+        if k.acceptor.vote.accepted is not None and k.acceptor.vote.accepted.version == 1
     ][:2]
     former = [voter(fleet, number) for number in holders]
     for number in range(6):
@@ -129,8 +135,8 @@
     assert fleet.world.until(
         lambda: all(fleet.stores[number].is_voter() for number in holders), 10000
     )
-    assert all(fleet.stores[number].acceptor.accepted.version == 1 for number in holders)
-    group = fleet.stores[fleet.leaders()[0] - 1].chosen.group
+    assert all(fleet.stores[number].acceptor.vote.accepted.version == 1 for number in holders)
+    group = fleet.stores[fleet.leaders()[0] - 1].committed.group
     assert not set(former) & set(group)
 
 
@@ -164,7 +170,7 @@
         fleet.start_core(number, False)
     assert json.loads(fleet.insist(range(6), "read", "")[1])["version"] == "r1"
     assert fleet.world.until(lambda: len(fleet.leaders()) == 1, 10000)
-    assert fleet.stores[fleet.leaders()[0] - 1].chosen.evacuated == ("b1",)
+    assert fleet.stores[fleet.leaders()[0] - 1].committed.evacuated == ("b1",)
 
 
 def test_owner_cut_off_gives_no_false_refusal():
@@ -177,9 +183,10 @@
     others = [n for n in range(6) if n != owner]
     assert fleet.insist(others, "replace", config(2, 1))[0] == 200
     got = []
-    fleet.stores[owner].orders.take("replace", config(3, 2), False, got.append)
+    fleet.stores[owner].commands.submit(CommandRequest("replace", config(3, 2), False), got.append)
     fleet.world.run(3000)
-    assert got and got[0][0] == 503
+    assert got
+    assert got[0][0] == 503
     fleet.world.join()
     assert fleet.insist([owner], "replace", config(3, 2))[0] == 200
 
@@ -199,7 +206,7 @@
     assert fleet.insist([0], "replace", config(1, 0))[0] == 200
     group = [
         int(a.split(":")[0].split(".")[-1])
-        for a in fleet.stores[fleet.leaders()[0] - 1].chosen.group
+        for a in fleet.stores[fleet.leaders()[0] - 1].committed.group
     ]
     few, many = group[:2], [n for n in range(1, 7) if n not in group[:2]]
     fleet.world.cut([f"10.0.0.{n}" for n in few], [f"10.0.0.{n}" for n in many])
@@ -221,7 +228,7 @@
     owner = fleet.leaders()[0] - 1
     group = [
         int(address.split(":")[0].split(".")[-1]) - 1
-        for address in fleet.stores[owner].chosen.group
+        for address in fleet.stores[owner].committed.group
     ]
     ballot = fleet.stores[owner].ballot
     for number in group:
@@ -230,7 +237,8 @@
             fleet.world.run(1500)
             fleet.start_core(number, False)
             fleet.world.run(2500)
-    assert fleet.leaders() == [owner + 1] and fleet.stores[owner].ballot == ballot
+    assert fleet.leaders() == [owner + 1]
+    assert fleet.stores[owner].ballot == ballot
 
 
 def test_candidate_that_finds_a_newer_group_keeps_the_ballot_under_which_it_was_accepted():
@@ -242,10 +250,11 @@
     owner = fleet.leaders()[0] - 1
     stale = fleet.stores[next(number for number in range(3) if number != owner)]
     newest = fleet.stores[owner].ballot
-    stale.acceptor.changed(
-        accepted=Value(0, 0, "", (), stale.seed_addresses()), accepted_ballot=(0, "")
+    stale.acceptor.vote = stale.acceptor.vote.changed(
+        accepted=ConfigurationValue(0, 0, "", (), stale.group_view.seed_addresses()),
+        accepted_ballot=NO_BALLOT,
     )
     stale.election.prepare(stale.group())
-    assert fleet.world.until(lambda: stale.acceptor.accepted.serial > 0, 3000, 1)
+    assert fleet.world.until(lambda: stale.acceptor.vote.accepted.serial > 0, 3000, 1)
     assert stale.acceptor.vote.accepted_ballot <= newest
     assert json.loads(fleet.insist([0], "read", "")[1])["version"] == "r1"
--- a/tests/test_register_model.py
+++ b/tests/test_register_model.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 from register_model import TROUBLES, Run, check
 
-from stagevale.configuration.answered import AnsweredOrders
-from stagevale.register import acceptor, replication, storage
+from stagevale.configuration.change_history import ChangeHistory
+from stagevale.consensus import acceptor, replication, vote_storage
 
 # By hand: python3 tests/register_model.py FIRST LAST
 SCHEDULES = 8
@@ -20,33 +20,35 @@
 
 def confirms_without_asking(monkeypatch):
     """A leader answers reads and refusals without a majority's word."""
-    monkeypatch.setattr(replication.Replication, "confirm", lambda self, done: done(True))
+    monkeypatch.setattr(
+        replication.Replication, "confirm_leadership", lambda _self, on_done: on_done(True)
+    )
 
 
 def forgets_changes(monkeypatch):
     """No record of the changes taken: one that is sent again is refused."""
-    monkeypatch.setattr(AnsweredOrders, "holds", lambda self, name, fingerprint: False)
+    monkeypatch.setattr(ChangeHistory, "contains", lambda _self, _name, _fingerprint: False)
 
 
 def answers_before_the_disk(monkeypatch):
     """Promises and accepted values are answered before they are saved."""
 
-    def save(self, done):
-        done(True)
-        self.dirty = True
-        self.write_next()
+    def save(self, on_saved=lambda _saved: None):
+        on_saved(True)
+        self._unsaved_changes = True
+        self._save_next()
 
     monkeypatch.setattr(acceptor.Acceptor, "save", save)
 
 
 def keeps_the_identity(monkeypatch):
     """A disk that was lost comes back under its former identity, and its empty vote counts."""
-    monkeypatch.setattr(acceptor, "new_voter", lambda address, random: address)
+    monkeypatch.setattr(acceptor, "new_voter_id", lambda address, _random: address)
 
 
 def loads_snapshots_only(monkeypatch):
     """Increments after the snapshot are passed over when a vote is loaded."""
-    monkeypatch.setattr(storage.Vote, "after", lambda self, fields: self)
+    monkeypatch.setattr(vote_storage.Vote, "with_increment", lambda self, _record: self)
 
 
 GUARDS = {
