--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -3,17 +3,23 @@
 import json
 
 import pytest
-from simworld import Fleet
+from support.endpoints import send_heartbeat
+from support.fleet import Fleet
 from test_register import config
 
-from stagevale import wire
-from stagevale.configuration.checking import fingerprint, read_config
-from stagevale.registrations import DRAINING, GONE, READY, Life, Lives
-from stagevale.registrations.calls import Failure, read_beat
-from stagevale.wire.switchboard import Switchboard
+from stagevale.api.heartbeat_body import read_heartbeat
+from stagevale.api.router import BadCallError
+from stagevale.configuration.documents import fingerprint
+from stagevale.configuration.validation import check_configuration
+from stagevale.discovery.instance import Instance, InstanceState
+from stagevale.discovery.instance_table import InstanceTable
+from stagevale.discovery.messages import SubscribeMessage
+from stagevale.rpc import codec
+from stagevale.rpc.kinds import MessageKind
+from stagevale.rpc.transport import RpcTransport, no_reply
 
 
-def beat_of(id, state="ready", seq=1, cold=0, service="s", zone="a1"):
+def beat_of(_id, state="ready", seq=1, cold=0, service="s", zone="a1"):
     return {
         "address": "10.9.0.1:80",
         "details": {"service": service, "zone": zone, "slots": 3, "version": "v1"},
@@ -35,90 +41,67 @@
 
 def tell(fleet, number, call, wait_ms=2000):
     got = []
-    call(fleet.registries[number].service, lambda status, body: got.append(status))
+    call(fleet.registries[number].service, lambda status, _body: got.append(status))
     fleet.world.until(lambda: got, wait_ms)
     return got[0] if got else None
 
 
+def heartbeat(fleet, number, id, beat):
+    """Sends a heartbeat to one registry; the status of its answer, or None."""
+    return tell(fleet, number, lambda service, answer: send_heartbeat(service, id, beat, answer))
+
+
 def known(fleet, id):
-    return [proxy.targets.get(id) for proxy in fleet.proxies.values()]
+    return [proxy.targets.by_id.get(id) for proxy in fleet.proxies.values()]
 
 
 def test_a_beat_at_any_registry_reaches_every_proxy():
     fleet = formed()
     for number in range(6):
-        assert (
-            tell(
-                fleet,
-                number,
-                lambda service, answer: service.intake.beat(
-                    f"i-{number}", beat_of(f"i-{number}"), answer
-                ),
-            )
-            == 200
-        )
+        assert heartbeat(fleet, number, f"i-{number}", beat_of(f"i-{number}")) == 200
     assert fleet.world.until(lambda: all(all(known(fleet, f"i-{n}")) for n in range(6)), 2500)
 
 
 def test_drain_is_acknowledged_only_when_the_group_holds_it_and_reaches_the_proxies_in_time():
     fleet = formed()
-    tell(fleet, 0, lambda service, answer: service.intake.beat("i-1", beat_of("i-1"), answer))
+    heartbeat(fleet, 0, "i-1", beat_of("i-1"))
     assert fleet.world.until(lambda: all(known(fleet, "i-1")), 2500)
-    assert (
-        tell(
-            fleet,
-            4,
-            lambda service, answer: service.intake.beat(
-                "i-1", beat_of("i-1", "draining", 2), answer
-            ),
-        )
-        == 200
-    )
+    assert heartbeat(fleet, 4, "i-1", beat_of("i-1", "draining", 2)) == 200
     acked_ms = fleet.world.env.now
-    assert fleet.world.until(lambda: all(t.state == DRAINING for t in known(fleet, "i-1")), 1250)
-    tell(
-        fleet,
-        2,
-        lambda service, answer: service.intake.beat("i-1", beat_of("i-1", "ready", 1), answer),
+    assert fleet.world.until(
+        lambda: all(t.state == InstanceState.DRAINING for t in known(fleet, "i-1")), 1250
     )
+    heartbeat(fleet, 2, "i-1", beat_of("i-1", "ready", 1))
     fleet.world.run(2500)
-    assert all(t.state == DRAINING for t in known(fleet, "i-1"))
-    assert tell(fleet, 1, lambda service, answer: service.intake.leave("i-1", answer)) == 200
+    assert all(t.state == InstanceState.DRAINING for t in known(fleet, "i-1"))
+    assert tell(fleet, 1, lambda service, answer: service.heartbeats.leave("i-1", answer)) == 200
     assert fleet.world.until(lambda: not any(known(fleet, "i-1")), 1250)
     assert fleet.world.env.now > acked_ms
 
 
 def test_drain_during_a_cut_is_refused_by_the_side_without_the_core():
     fleet = formed()
-    tell(fleet, 0, lambda service, answer: service.intake.beat("i-1", beat_of("i-1"), answer))
+    heartbeat(fleet, 0, "i-1", beat_of("i-1"))
     fleet.world.run(2000)
     fleet.world.cut(["10.0.0.5"], [f"10.0.0.{n}" for n in (1, 2, 3, 4, 6)])
     fleet.world.run(3500)
-    assert tell(
-        fleet,
-        4,
-        lambda service, answer: service.intake.beat("i-1", beat_of("i-1", "draining", 2), answer),
-    ) in (503, None)
-    assert (
-        tell(
-            fleet,
-            0,
-            lambda service, answer: service.intake.beat(
-                "i-1", beat_of("i-1", "draining", 2), answer
-            ),
-        )
-        == 200
+    assert heartbeat(fleet, 4, "i-1", beat_of("i-1", "draining", 2)) in (503, None)
+    assert heartbeat(fleet, 0, "i-1", beat_of("i-1", "draining", 2)) == 200
+    assert fleet.world.until(
+        lambda: all(t.state == InstanceState.DRAINING for t in known(fleet, "i-1")), 2500
     )
-    assert fleet.world.until(lambda: all(t.state == DRAINING for t in known(fleet, "i-1")), 2500)
 
 
 def test_proxies_leave_a_feeder_that_is_out_of_touch():
     fleet = formed()
-    fed = [p for p in fleet.proxies.values() if p.feeder == "10.0.0.5:7200"]
+    fed = [p for p in fleet.proxies.values() if p.feed.feeder == "10.0.0.5:7200"]
     assert fed
     fleet.world.cut(["10.0.0.5"], [f"10.0.0.{n}" for n in (1, 2, 3, 4, 6)])
     assert fleet.world.until(
-        lambda: all(p.feeder not in (None, "10.0.0.5:7200") and p.subscribed for p in fed), 5000
+        lambda: all(
+            p.feed.feeder not in (None, "10.0.0.5:7200") and p.feed.subscribed for p in fed
+        ),
+        5000,
     )
 
 
@@ -126,37 +109,18 @@
     fleet = formed()
     seq = 1
     for _ in range(8):
-        tell(
-            fleet,
-            0,
-            lambda service, answer: service.intake.beat("i-1", beat_of("i-1", seq=seq), answer),
-        )
-        tell(
-            fleet,
-            3,
-            lambda service, answer: service.intake.beat("i-2", beat_of("i-2", seq=seq), answer),
-        )
+        heartbeat(fleet, 0, "i-1", beat_of("i-1", seq=seq))
+        heartbeat(fleet, 3, "i-2", beat_of("i-2", seq=seq))
         fleet.world.run(1500)
         seq += 1
     assert all(t.healthy for t in known(fleet, "i-1") + known(fleet, "i-2"))
     for _ in range(6):
-        tell(
-            fleet,
-            3,
-            lambda service, answer: service.intake.beat("i-2", beat_of("i-2", seq=seq), answer),
-        )
+        heartbeat(fleet, 3, "i-2", beat_of("i-2", seq=seq))
         fleet.world.run(1500)
         seq += 1
-    assert not any(t.healthy for t in known(fleet, "i-1")) and all(
-        t.healthy for t in known(fleet, "i-2")
-    )
-    tell(
-        fleet,
-        5,
-        lambda service, answer: service.intake.beat(
-            "i-1", beat_of("i-1", seq=seq, cold=2500), answer
-        ),
-    )
+    assert not any(t.healthy for t in known(fleet, "i-1"))
+    assert all(t.healthy for t in known(fleet, "i-2"))
+    heartbeat(fleet, 5, "i-1", beat_of("i-1", seq=seq, cold=2500))
     assert fleet.world.until(
         lambda: all(
             t.healthy and t.cold_until_ms > fleet.world.env.now for t in known(fleet, "i-1")
@@ -173,56 +137,48 @@
     for seq in range(1, 17):
         for number in range(12):
             beat = beat_of(f"i-{number}", seq=seq, service=f"s{number % 4}")
-            fleet.registries[number % 6].service.intake.beat(
-                f"i-{number}", beat, lambda status, body: None
+            send_heartbeat(
+                fleet.registries[number % 6].service,
+                f"i-{number}",
+                beat,
+                lambda _status, _body: None,
             )
         fleet.world.run(1500)
-    assert not [line for line in fleet.world.lines if "unheard" in line]
+    assert not [line for line in fleet.world.lines if "is unhealthy" in line]
 
 
 def test_registry_that_restarts_empty_learns_and_empties_no_proxy():
     fleet = formed()
     for number in range(6):
-        tell(
-            fleet,
-            number,
-            lambda service, answer: service.intake.beat(
-                f"i-{number}", beat_of(f"i-{number}"), answer
-            ),
-        )
+        heartbeat(fleet, number, f"i-{number}", beat_of(f"i-{number}"))
     fleet.world.run(2500)
     fleet.kill_core(1)
     fleet.start_core(1, False)
-    assert fleet.world.until(lambda: len(fleet.registries[1].service.lives.by_id) == 6, 8000)
-    assert all(len(proxy.targets) == 6 for proxy in fleet.proxies.values())
+    assert fleet.world.until(lambda: len(fleet.registries[1].service.instances.by_id) == 6, 8000)
+    assert all(len(proxy.targets.by_id) == 6 for proxy in fleet.proxies.values())
 
 
 def test_restart_of_the_whole_core_keeps_proxies_serving_and_learns_again():
     fleet = formed()
-    tell(fleet, 0, lambda service, answer: service.intake.beat("i-1", beat_of("i-1"), answer))
+    heartbeat(fleet, 0, "i-1", beat_of("i-1"))
     fleet.world.run(2000)
     for number in range(6):
         fleet.kill_core(number)
     fleet.world.run(800)
     for number in range(6):
         fleet.start_core(number, False)
-    assert all(proxy.targets and proxy.forwarder.snapshot.hosts for proxy in fleet.proxies.values())
+    assert all(
+        proxy.targets.by_id and proxy.forwarder.snapshot.hosts for proxy in fleet.proxies.values()
+    )
     assert fleet.insist([0, 1], "replace", config(2, 1))[0] == 200
     assert fleet.world.until(
         lambda: all(
-            p.forwarder.snapshot.serial >= 2 and p.subscribed for p in fleet.proxies.values()
+            p.forwarder.snapshot.serial >= 2 and p.feed.subscribed for p in fleet.proxies.values()
         ),
         8000,
     )
     assert fleet.world.until(
-        lambda: (
-            tell(
-                fleet,
-                2,
-                lambda service, answer: service.intake.beat("i-1", beat_of("i-1", seq=9), answer),
-            )
-            == 200
-        ),
+        lambda: heartbeat(fleet, 2, "i-1", beat_of("i-1", seq=9)) == 200,
         8000,
     )
 
@@ -230,18 +186,8 @@
 def test_after_a_loss_of_everything_proxies_serve_before_the_next_beat():
     fleet = formed()
     for number in range(6):
-        tell(
-            fleet,
-            number,
-            lambda service, answer: service.intake.beat(
-                f"i-{number}", beat_of(f"i-{number}"), answer
-            ),
-        )
-    tell(
-        fleet,
-        0,
-        lambda service, answer: service.intake.beat("i-5", beat_of("i-5", "draining", 2), answer),
-    )
+        heartbeat(fleet, number, f"i-{number}", beat_of(f"i-{number}"))
+    heartbeat(fleet, 0, "i-5", beat_of("i-5", "draining", 2))
     fleet.world.run(3000)
     for number in range(6):
         fleet.kill_core(number)
@@ -251,56 +197,58 @@
         fleet.start_core(number, False)
         fleet.start_proxy(number)
     assert fleet.world.until(
-        lambda: all(p.ready() and len(p.targets) == 6 for p in fleet.proxies.values()), 2500
+        lambda: all(p.is_ready() and len(p.targets.by_id) == 6 for p in fleet.proxies.values()),
+        2500,
     )
-    assert all(t.state == DRAINING for t in known(fleet, "i-5"))
+    assert all(t.state == InstanceState.DRAINING for t in known(fleet, "i-5"))
     fleet.world.run(9000)
     assert not any(t.healthy for t in known(fleet, "i-1"))
 
 
 def test_directory_names_ready_fronts_of_the_zone_and_drops_a_killed_proxy():
     fleet = formed()
-    tell(fleet, 0, lambda service, answer: service.intake.beat("i-1", beat_of("i-1"), answer))
+    heartbeat(fleet, 0, "i-1", beat_of("i-1"))
     service = fleet.registries[3].service
-    assert fleet.world.until(lambda: service.feeding.resolve("a1", "a") == ["10.0.1.1:9000"], 5000)
+    assert fleet.world.until(lambda: service.proxies.resolve("a1", "a") == ["10.0.1.1:9000"], 5000)
     fleet.world.kill(fleet.proxies[0].context)
-    assert fleet.world.until(lambda: service.feeding.resolve("a1", "a") == ["10.0.1.4:9000"], 1500)
+    assert fleet.world.until(lambda: service.proxies.resolve("a1", "a") == ["10.0.1.4:9000"], 1500)
 
 
 def test_a_welcome_is_packed_once_for_a_burst_of_proxies_and_never_misses_news_between(monkeypatch):
     fleet = formed()
     for number in range(6):
-        tell(
-            fleet,
-            0,
-            lambda service, answer: service.intake.beat(
-                f"i-{number}", beat_of(f"i-{number}"), answer
-            ),
-        )
+        heartbeat(fleet, 0, f"i-{number}", beat_of(f"i-{number}"))
     fleet.world.run(500)
     service, fed, packed = fleet.registries[0].service, {}, []
-    pack_rows = wire.pack_rows
+    encode_rows = codec.encode_rows
     monkeypatch.setattr(
-        Switchboard,
+        RpcTransport,
         "send",
-        lambda switchboard, peer, kind, body: (
-            kind == wire.FEED
+        lambda _rpc, peer, kind, body: (
+            kind == MessageKind.FEED
             and fed.setdefault(peer, []).append(
-                {row[0]: row[5] for row in wire.unpack_rows(body[2])}
+                {row[0]: row[5] for row in codec.decode_rows(body[2])}
             )
         ),
     )
-    monkeypatch.setattr(wire, "pack_rows", lambda rows: packed.append(len(rows)) or pack_rows(rows))
+    monkeypatch.setattr(
+        codec, "encode_rows", lambda rows: packed.append(len(rows)) or encode_rows(rows)
+    )
     for number in range(5):
-        service.feeding.on_subscribe(
-            f"10.0.7.{number}:7200", ["10.0.7.1:9000", "a1", "a", True, 10**6, []], None
+        service.feeds.on_subscribe(
+            f"10.0.7.{number}:7200",
+            SubscribeMessage("10.0.7.1:9000", "a1", "a", True, 10**6, []),
+            no_reply,
         )
-    assert packed == [6] and all(len(rows[0]) == 6 for rows in fed.values())
-    service.intake.beat("i-3", beat_of("i-3", "draining", 2), lambda status, body: None)
-    service.feeding.on_subscribe(
-        "10.0.7.9:7200", ["10.0.7.9:9000", "a1", "a", True, 10**6, []], None
+    assert packed == [6]
+    assert all(len(rows[0]) == 6 for rows in fed.values())
+    send_heartbeat(service, "i-3", beat_of("i-3", "draining", 2), lambda _status, _body: None)
+    service.feeds.on_subscribe(
+        "10.0.7.9:7200",
+        SubscribeMessage("10.0.7.9:9000", "a1", "a", True, 10**6, []),
+        no_reply,
     )
-    assert fed["10.0.7.9:7200"][-1]["i-3"] == DRAINING
+    assert fed["10.0.7.9:7200"][-1]["i-3"] == InstanceState.DRAINING
 
 
 def test_proxy_started_again_takes_only_what_a_majority_confirms():
@@ -311,25 +259,32 @@
     assert fleet.world.until(lambda: fleet.proxies[2].forwarder.snapshot.hosts, 5000)
     assert (
         fleet.proxies[2].forwarder.snapshot.serial
-        == fleet.stores[fleet.leaders()[0] - 1].chosen.serial
+        == fleet.stores[fleet.leaders()[0] - 1].committed.serial
     )
 
 
 def test_lives_merge_in_any_order_to_the_same():
     def at(state, seq, unhealthy_at=0, cold_seq=0):
-        return Life("i", "s", "10.0.0.1:1", "a1", 3, state, seq, unhealthy_at, cold_seq, 0)
-
-    news = [at(READY, 1), at(DRAINING, 3), at(READY, 2, 2), at(READY, 5, cold_seq=5), at(READY, 4)]
+        return Instance("i", "s", "10.0.0.1:1", "a1", 3, state, seq, unhealthy_at, cold_seq, 0)
+
+    news = [
+        at(InstanceState.READY, 1),
+        at(InstanceState.DRAINING, 3),
+        at(InstanceState.READY, 2, 2),
+        at(InstanceState.READY, 5, cold_seq=5),
+        at(InstanceState.READY, 4),
+    ]
     ends = set()
     for turn in range(5):
-        lives = Lives()
+        lives = InstanceTable()
         for life in news[turn:] + news[:turn]:
             lives.merge(life, 0)
-        ends.add((lives.by_id["i"].known(), lives.by_id["i"].call_seq))
+        end = lives.by_id["i"]
+        ends.add((end.id, end.state, end.is_healthy, end.warmup_seq, end.call_seq))
     assert len(ends) == 1
-    lives.merge(at(GONE, 5), 0)
-    lives.merge(at(READY, 9), 0)
-    assert lives.by_id["i"].state == GONE
+    lives.merge(at(InstanceState.GONE, 5), 0)
+    lives.merge(at(InstanceState.READY, 9), 0)
+    assert lives.by_id["i"].state == InstanceState.GONE
 
 
 @pytest.mark.parametrize(
@@ -350,8 +305,8 @@
     ],
 )
 def test_bad_beats_are_failures(body):
-    with pytest.raises(Failure):
-        read_beat(body)
+    with pytest.raises(BadCallError):
+        read_heartbeat("i", body, 0.0)
 
 
 def test_bad_configurations_name_the_place():
@@ -370,22 +325,18 @@
     ):
         table = json.loads(json.dumps(good))
         change(table)
-        outcome = read_config(json.dumps(table))
-        assert outcome.is_error() and outcome.error.status == 400 and word in outcome.error.reason
-    assert read_config(json.dumps(good)).is_ok()
+        outcome = check_configuration(json.dumps(table))
+        assert outcome.is_error()
+        assert outcome.error.status == 400
+        assert word in outcome.error.reason
+    assert check_configuration(json.dumps(good)).is_ok()
     assert fingerprint(json.dumps(good)) == fingerprint(json.dumps(good, indent=3))
 
 
 def test_registry_that_ends_in_order_hands_its_parts_over():
     fleet = formed(13)
     for number in range(6):
-        tell(
-            fleet,
-            number,
-            lambda service, answer: service.intake.beat(
-                f"i-{number}", beat_of(f"i-{number}"), answer
-            ),
-        )
+        heartbeat(fleet, number, f"i-{number}", beat_of(f"i-{number}"))
     fleet.world.run(6000)
     table = fleet.registries[0].membership.state.table
     leaver = next(
@@ -399,8 +350,8 @@
     )
     address = f"10.0.0.{leaver + 1}:7200"
     daemon = fleet.registries[leaver]
-    daemon.ending = daemon.context.stopping = True
-    daemon.end()
+    daemon.stopping = daemon.context.stopping = True
+    daemon.stop()
     watcher = fleet.registries[0].membership
 
     def moved():
@@ -416,7 +367,7 @@
         if part.startswith("part-"):
             assert len(group) == 3
     assert all(
-        len(registry.service.lives.by_id) == 6
+        len(registry.service.instances.by_id) == 6
         for n, registry in fleet.registries.items()
         if n != leaver
     )
--- a/tests/test_rehearsing.py
+++ b/tests/test_rehearsing.py
@@ -5,11 +5,12 @@
 import json
 
 import pytest
-from simworld import ZONES, Fleet, SimTransport
-from standins import Client, Endpoint, good, request, route
+from support.endpoints import Client, Endpoint, good, request, route, send_heartbeat, status_of
+from support.fleet import ZONES, Fleet
+from support.network import SimTransport
 
 from stagevale.rehearsing import Plan, RehearsalFailure, rehearse, report, shifted
-from stagevale.settings import Bounds
+from stagevale.settings.settings import Bounds
 
 ROUTES = [
     route("pure", "/p/"),
@@ -42,7 +43,8 @@
         self.beat()
         assert self.world.until(
             lambda: all(
-                proxy.ready() and len(proxy.targets) == 12 for proxy in self.fleet.proxies.values()
+                proxy.is_ready() and len(proxy.targets.by_id) == 12
+                for proxy in self.fleet.proxies.values()
             ),
             8000,
         )
@@ -76,8 +78,11 @@
                 "details": {"service": "s", "zone": endpoint.zone, "slots": 3},
                 "status": {"state": "ready", "callSeq": self.seq, "coldLeftMs": 0},
             }
-            self.fleet.registries[number].service.intake.beat(
-                endpoint.id, beat, lambda status, body: None
+            send_heartbeat(
+                self.fleet.registries[number].service,
+                endpoint.id,
+                beat,
+                lambda _status, _body: None,
             )
         self.world.later(1500, self.beat)
 
@@ -92,7 +97,7 @@
             for number, registry in self.fleet.registries.items()
             if registry.context.alive and ZONES[number][0] not in self.dead
         )
-        fronts = [tuple(front.split(":")) for front in service.feeding.resolve(zone, zone[0])]
+        fronts = [tuple(front.split(":")) for front in service.proxies.resolve(zone, zone[0])]
         if fronts:
             ip, port = fronts[self.sent % len(fronts)]
             found = self.world.listeners.get((ip, int(port)))
@@ -120,7 +125,7 @@
         near.write(data)
 
     def stands(self):
-        return [registry.service.status() for registry in self.fleet.registries.values()]
+        return [status_of(registry) for registry in self.fleet.registries.values()]
 
     def lose(self, region):
         self.dead.add(region)
@@ -226,7 +231,8 @@
     assert list(moved) == ["10.0.1.1:7200"]
     assert sum(flow.per_s for flow in moved["10.0.1.1:7200"]) == pytest.approx(60.0)
     calm = rehearse(plan, "", 10, 3)
-    assert calm["r-pure/p/"].zones.keys() == {"a1", "b1"} and calm["r-pure/p/"].in_aim > 100
+    assert calm["r-pure/p/"].zones.keys() == {"a1", "b1"}
+    assert calm["r-pure/p/"].in_aim > 100
     assert rehearse(plan, "a", 10, 3)["r-pure/p/"].zones.keys() == {"b1"}
 
 
@@ -237,10 +243,8 @@
     plan = Plan([busy], CONFIG, Bounds({}))
     lost = report(plan, "a", 10, 1)
     row = next(row for row in lost["routes"] if row["route"] == "r-pure/p/")
-    assert (
-        row["lost"]["inAim"] < row["calm"]["inAim"]
-        and row["lost"]["refused"] + row["lost"]["late"] > 0.2
-    )
+    assert row["lost"]["inAim"] < row["calm"]["inAim"]
+    assert row["lost"]["refused"] + row["lost"]["late"] > 0.2
 
 
 def test_the_same_seed_gives_the_same_table():
@@ -252,12 +256,12 @@
 def test_nothing_to_rehearse_is_said():
     with pytest.raises(RehearsalFailure, match="no region x"):
         report(Plan([stand()], CONFIG, Bounds({})), "x", 5, 1)
+    empty = stand()
+    for row in empty["proxies"]:
+        row["report"] = []
     with pytest.raises(RehearsalFailure, match="reported"):
-        empty = stand()
-        for row in empty["proxies"]:
-            row["report"] = []
         Plan([empty], CONFIG, Bounds({}))
+    alone = stand()
+    alone["proxies"] = alone["proxies"][:1]
     with pytest.raises(RehearsalFailure, match="no front is left"):
-        alone = stand()
-        alone["proxies"] = alone["proxies"][:1]
         report(Plan([alone], CONFIG, Bounds({})), "a", 5, 1)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -7,17 +7,20 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from simworld import Fleet
-from standins import Endpoint, Scene, client_at, good, request
+from support.endpoints import Endpoint, Scene, api_call, client_at, good, request
+from support.fleet import Fleet
 
+from stagevale.configuration.command_handlers import CommandKind
 from stagevale.configuration.node import ConfigurationNode
-from stagevale.configuration.orders import MOVE_ROLLOUT, START_ROLLOUT, decide
-from stagevale.configuration.value import Value, read_value
-from stagevale.leases import Lease
-from stagevale.registrations.calls import dispatcher
-from stagevale.rollouts import DONE, FALLEN, NEW, SHIFTING, Outcomes, Rollout
-from stagevale.rollouts.judging import Judge
-from stagevale.settings import Bounds
+from stagevale.configuration.value import ConfigurationValue, read_configuration_value
+from stagevale.consensus.commands import CommandRequest
+from stagevale.daemons.command_handlers import find_handler
+from stagevale.discovery.instance import InstanceState
+from stagevale.leases.lease import Lease
+from stagevale.rollouts.judge import Judge
+from stagevale.rollouts.outcomes import Outcomes
+from stagevale.rollouts.rollout import Rollout, RolloutState, Side
+from stagevale.settings.settings import Bounds
 
 CONFIG = {
     "version": "r1",
@@ -73,15 +76,20 @@
             "failureShare": 0.1,
             "leastRequests": 20,
             "watchS": 2.0,
-            "state": SHIFTING,
+            "state": RolloutState.SHIFTING,
             "step": 0,
             **more,
         }
     )
 
 
+def decide(value, kind, payload, zones):
+    """The outcome of a command, by the handler that the stores use."""
+    return find_handler(kind)(value, payload, zones)
+
+
 def value(**more):
-    return Value(1, 1, json.dumps(CONFIG), (), (), {}, **more)
+    return ConfigurationValue(1, 1, json.dumps(CONFIG), (), (), **more)
 
 
 @pytest.mark.parametrize(
@@ -106,57 +114,77 @@
     ],
 )
 def test_bad_rollouts_name_the_field(text, field):
-    outcome = decide(value(), START_ROLLOUT, "s\n" + text, {})
-    assert outcome.status == 400 and outcome.value is None and field in outcome.text
+    outcome = decide(value(), CommandKind.START_ROLLOUT, "s\n" + text, {})
+    assert outcome.status == 400
+    assert outcome.value is None
+    assert field in outcome.text
 
 
 def test_orders_go_like_those_of_configurations():
-    first = decide(value(), START_ROLLOUT, "s\n" + plan(), {})
+    first = decide(value(), CommandKind.START_ROLLOUT, "s\n" + plan(), {})
     assert first.status == 200
     held = first.value
-    assert read_value(held.packed).rollouts == held.rollouts
-    assert decide(held, START_ROLLOUT, "s\n" + plan(), {}).value is None
-    assert decide(held, START_ROLLOUT, "s\n" + plan(), {}).status == 200
-    assert decide(held, START_ROLLOUT, "none\n" + plan(), {}).status == 404
+    assert read_configuration_value(held.encoded).rollouts == held.rollouts
+    assert decide(held, CommandKind.START_ROLLOUT, "s\n" + plan(), {}).value is None
+    assert decide(held, CommandKind.START_ROLLOUT, "s\n" + plan(), {}).status == 200
+    assert decide(held, CommandKind.START_ROLLOUT, "none\n" + plan(), {}).status == 404
     assert (
-        decide(held, START_ROLLOUT, "s\n" + plan(version="r3", parentVersion="r2"), {}).status
+        decide(
+            held, CommandKind.START_ROLLOUT, "s\n" + plan(version="r3", parentVersion="r2"), {}
+        ).status
         == 412
     )
-    assert decide(held, START_ROLLOUT, "s\n" + plan(to="v3", parentVersion="r1"), {}).status == 400
     assert (
-        decide(held, START_ROLLOUT, "s\n" + plan(version="r2", parentVersion="r1"), {}).status
+        decide(
+            held, CommandKind.START_ROLLOUT, "s\n" + plan(to="v3", parentVersion="r1"), {}
+        ).status
+        == 400
+    )
+    assert (
+        decide(
+            held, CommandKind.START_ROLLOUT, "s\n" + plan(version="r2", parentVersion="r1"), {}
+        ).status
         == 409
     )
-    assert decide(held, MOVE_ROLLOUT, "t\npause", {}).status == 404
-    assert decide(held, MOVE_ROLLOUT, "s\nresume", {}).value is None
-    paused = decide(held, MOVE_ROLLOUT, "s\npause", {}).value
+    assert decide(held, CommandKind.MOVE_ROLLOUT, "t\npause", {}).status == 404
+    assert decide(held, CommandKind.MOVE_ROLLOUT, "s\nresume", {}).value is None
+    paused = decide(held, CommandKind.MOVE_ROLLOUT, "s\npause", {}).value
     assert Rollout(json.loads(paused.rollouts["s"])).share == 0.2
-    fallen = decide(paused, MOVE_ROLLOUT, "s\nrollback", {}).value
+    fallen = decide(paused, CommandKind.MOVE_ROLLOUT, "s\nrollback", {}).value
     assert Rollout(json.loads(fallen.rollouts["s"])).share == 0.0
     for order in ("pause", "resume", "promote"):
-        assert decide(fallen, MOVE_ROLLOUT, "s\n" + order, {}).status == 409
-    assert decide(fallen, MOVE_ROLLOUT, "s\nrollback", {}).status == 200
-    assert decide(fallen, START_ROLLOUT, "s\n" + plan(), {}).value is None
+        assert decide(fallen, CommandKind.MOVE_ROLLOUT, "s\n" + order, {}).status == 409
+    assert decide(fallen, CommandKind.MOVE_ROLLOUT, "s\nrollback", {}).status == 200
+    assert decide(fallen, CommandKind.START_ROLLOUT, "s\n" + plan(), {}).value is None
     third = decide(
-        fallen, START_ROLLOUT, "s\n" + plan(version="r2", parentVersion="r1", to="v3"), {}
+        fallen,
+        CommandKind.START_ROLLOUT,
+        "s\n" + plan(version="r2", parentVersion="r1", to="v3"),
+        {},
     ).value
     later = Rollout(json.loads(third.rollouts["s"]))
-    assert not later.allows(0, "v2") and later.allows(0, "v1") and later.allows(NEW, "v3")
-    ended = decide(fallen, MOVE_ROLLOUT, "s\nend", {}).value
-    assert decide(ended, MOVE_ROLLOUT, "s\nrollback", {}).status == 404
-    assert decide(ended, START_ROLLOUT, "s\n" + plan(version="r1", to="v9"), {}).status == 412
+    assert not later.allows(0, "v2")
+    assert later.allows(0, "v1")
+    assert later.allows(Side.NEW, "v3")
+    ended = decide(fallen, CommandKind.MOVE_ROLLOUT, "s\nend", {}).value
+    assert decide(ended, CommandKind.MOVE_ROLLOUT, "s\nrollback", {}).status == 404
+    assert (
+        decide(ended, CommandKind.START_ROLLOUT, "s\n" + plan(version="r1", to="v9"), {}).status
+        == 412
+    )
 
 
 @given(st.lists(st.binary(min_size=1, max_size=20), min_size=1, max_size=50))
 @settings(max_examples=100, deadline=None, database=None, derandomize=True)
 def test_a_share_that_rises_only_adds_requests(keys):
     for key in keys:
-        sides = [rollout(step=step).side(key) for step in range(3)]
-        assert sides == sorted(sides) and sides[2] == NEW
-        assert rollout(state=FALLEN).side(key) == 0
+        sides = [rollout(step=step).side_of(key) for step in range(3)]
+        assert sides == sorted(sides)
+        assert sides[2] == Side.NEW
+        assert rollout(state=RolloutState.ROLLED_BACK).side_of(key) == 0
 
 
-@pytest.mark.parametrize("state, new_tries", [(SHIFTING, 1), (DONE, 2)])
+@pytest.mark.parametrize("state, new_tries", [(RolloutState.SHIFTING, 1), (RolloutState.DONE, 2)])
 def test_a_lookup_that_the_new_version_fails_is_tried_again_at_the_stable_one_and_a_crate_is_not(
     state, new_tries
 ):
@@ -164,7 +192,7 @@
     two attempts.
     """
 
-    def fails(endpoint, fields, body):
+    def fails(endpoint, fields, _body):
         endpoint.ran.append(fields[b"attempt-id"].decode())
         return (
             b"HTTP/1.1 500 X\r\nAttempt-Id: "
@@ -178,8 +206,8 @@
         for number, (rule, software) in enumerate([(good, "v1"), (fails, "v2"), (fails, "v2")], 1)
     ]
     for endpoint in endpoints:
-        scene.tell(endpoint.life())
-    scene.snapshot(scene.value.after(rollouts={"s": rollout(steps=[1.0], state=state).text()}))
+        scene.update(endpoint.instance())
+    scene.snapshot(scene.value.changed(rollouts={"s": rollout(steps=[1.0], state=state).to_json()}))
     scene.proxy.forwarder.lease.until_ms = 1e9
     scene.world.run(9000)
     clients = [
@@ -188,9 +216,8 @@
     ]
     scene.world.run(1400)
     assert [client.statuses() for client in clients] == [["200"], ["500"]]
-    assert [endpoint.ran.count("crate") for endpoint in endpoints].count(
-        1
-    ) == 1 and "crate" not in endpoints[0].ran
+    assert [endpoint.ran.count("crate") for endpoint in endpoints].count(1) == 1
+    assert "crate" not in endpoints[0].ran
     assert [
         sum(endpoint.ran.count("look") for endpoint in some)
         for some in (endpoints[:1], endpoints[1:])
@@ -207,7 +234,7 @@
 
 def judge_of(*rows, machines=0):
     judge = Judge(Bounds({}), {"machines": machines})
-    judge.take(list(rows), 0.0)
+    judge.record(list(rows), 0.0)
     return judge
 
 
@@ -215,16 +242,16 @@
     judge = judge_of(told("p1", "a1", [90, 0, 0], [15, 0, 0]))
     assert judge.judge(rollout(), ["p1"], 0.0) is None
     assert judge.judge(rollout(), ["p1"], 2500.0) is None
-    judge.take([told("p1", "a1", [90, 0, 0], [15, 0, 0])] * 5, 2500.0)
+    judge.record([told("p1", "a1", [90, 0, 0], [15, 0, 0])] * 5, 2500.0)
     assert judge.judge(rollout(), ["p1"], 2500.0) is None, "a repeat counts nothing twice"
-    judge.take([told("p1", "a1", [90, 0, 0], [25, 0, 0])], 2600.0)
+    judge.record([told("p1", "a1", [90, 0, 0], [25, 0, 0])], 2600.0)
     assert judge.judge(rollout(), ["p1", "p2"], 2700.0) is None, "p2 is unheard"
     assert judge.judge(rollout(), ["p1"], 2700.0).step == 1
     assert judge.judge(rollout(state="paused"), ["p1"], 2700.0) is None
-    judge.take([told("p1", "a1", [0, 0, 0], [40, 0, 0], 2)], 6000.0)
+    judge.record([told("p1", "a1", [0, 0, 0], [40, 0, 0], 2)], 6000.0)
     assert judge.judge(rollout(step=2), ["p1"], 6000.0) is None
-    judge.take([told("p1", "a1", [0, 0, 0], [40, 0, 0], 2)], 8500.0)
-    assert judge.judge(rollout(step=2), ["p1"], 8500.0).state == DONE
+    judge.record([told("p1", "a1", [0, 0, 0], [40, 0, 0], 2)], 8500.0)
+    assert judge.judge(rollout(step=2), ["p1"], 8500.0).state == RolloutState.DONE
 
 
 def test_neither_few_requests_nor_one_zone_nor_a_bad_old_version_has_it_fall_back():
@@ -246,13 +273,14 @@
             told("p2", "b1", [50, 0, 0], [50, failed, late]),
         )
         fallen = worse.judge(rollout(), ["p1"], 1.0)
-        assert fallen.state == FALLEN and "step 1" in fallen.reason
+        assert fallen.state == RolloutState.ROLLED_BACK
+        assert "step 1" in fallen.reason
     last = judge_of(
         told("p1", "a1", [50, 0, 0], [50, 0, 0]),
         told("p1", "a1", [0, 0, 0], [50, 20, 0], 2, "q"),
         told("p2", "b1", [0, 0, 0], [50, 20, 0], 2),
     )
-    assert last.judge(rollout(step=2), ["p1"], 1.0).state == FALLEN
+    assert last.judge(rollout(step=2), ["p1"], 1.0).state == RolloutState.ROLLED_BACK
 
 
 def test_outcomes_are_sums_of_this_life_for_the_rollouts_that_are_on():
@@ -265,7 +293,8 @@
         ["s", 1, 0, "a1", 0, 1, 0, 0],
         ["s", 1, 0, "a1", 1, 3, 1, 2],
     ]
-    assert outcomes.rows({"s": rollout(version=2)}) == [] and outcomes.sums == {}
+    assert outcomes.rows({"s": rollout(version=2)}) == []
+    assert outcomes.rows({}) == []
 
 
 class Yard:
@@ -287,15 +316,15 @@
             )
             self.beat(place, endpoint, 1)
         assert self.world.until(
-            lambda: all(len(p.targets) == 6 for p in self.fleet.proxies.values()), 6000
+            lambda: all(len(p.targets.by_id) == 6 for p in self.fleet.proxies.values()), 6000
         )
 
     def beat(self, place, endpoint, seq):
         self.world.later(1500, self.beat, place, endpoint, seq + 1)
         alive = [registry for registry in self.fleet.registries.values() if registry.context.alive]
         if alive:
-            alive[place % len(alive)].service.intake.take_in(
-                endpoint.life(seq=seq), lambda status, body: None
+            alive[place % len(alive)].service.heartbeats.heartbeat(
+                endpoint.instance(seq=seq), lambda _status, _body: None
             )
 
     def run(self, endpoint, fields, body):
@@ -332,13 +361,17 @@
 
     def state(self):
         rows = [
-            json.loads(keeper.acceptor.accepted.rollouts["s"])
+            json.loads(keeper.acceptor.vote.accepted.rollouts["s"])
             for keeper in self.fleet.stores.values()
             if keeper.context.alive
-            and keeper.acceptor.accepted
-            and "s" in keeper.acceptor.accepted.rollouts
+            and keeper.acceptor.vote.accepted
+            and "s" in keeper.acceptor.vote.accepted.rollouts
         ]
-        return max(rows, key=lambda row: row["state"] == FALLEN)["state"] if rows else None
+        return (
+            max(rows, key=lambda row: row["state"] == RolloutState.ROLLED_BACK)["state"]
+            if rows
+            else None
+        )
 
     def start(self, **more):
         return self.fleet.insist(range(6), "startRollout", "s\n" + plan(**more), 20000)
@@ -375,9 +408,10 @@
         row = yard.rows()[0]
         if not shares or shares[-1] != row["share"]:
             shares.append(row["share"])
-        if row["state"] == DONE:
+        if row["state"] == RolloutState.DONE:
             break
-    assert shares == [0.2, 0.6, 1.0] and row["state"] == DONE
+    assert shares == [0.2, 0.6, 1.0]
+    assert row["state"] == RolloutState.DONE
     since_ms = yard.world.env.now + 2500
     yard.world.run(4000)
     assert not [entry for entry in yard.arrivals if entry[0] > since_ms and entry[1] == "v1"]
@@ -387,7 +421,7 @@
     assert sum(client.statuses() == ["200"] for *_, client in yard.sent) > 0.99 * len(yard.sent)
 
 
-def nothing(yard):
+def nothing(_yard):
     return ()
 
 
@@ -438,20 +472,22 @@
     yard.flow()
     yard.world.run(700)
     struck = strike(yard)
-    assert yard.world.until(lambda: yard.state() == FALLEN, 20000, 50)
+    assert yard.world.until(lambda: yard.state() == RolloutState.ROLLED_BACK, 20000, 50)
     for _ in range(60):
         row = yard.rows()[0]
-        if row["shown"] == FALLEN:
+        if row["shown"] == RolloutState.ROLLED_BACK:
             break
         assert row["shown"] == "falling back"
         yard.world.run(100)
-    assert row["shown"] == FALLEN and row["share"] == 0.0 and row["reason"]
+    assert row["shown"] == RolloutState.ROLLED_BACK
+    assert row["share"] == 0.0
+    assert row["reason"]
     done_ms = yard.world.env.now
     yard.world.run(4000)
     yard.world.join()
     yard.world.run(3000)
     assert not yard.on_new(done_ms), "stragglers"
-    assert yard.state() == FALLEN
+    assert yard.state() == RolloutState.ROLLED_BACK
     yard.flowing = False
     yard.world.run(3000)
     yard.check(struck)
@@ -463,7 +499,7 @@
     the new version.
     """
     if not leased:
-        monkeypatch.setattr(Lease, "holds", lambda self, now_ms: True)
+        monkeypatch.setattr(Lease, "is_held", lambda _self, _now_ms: True)
     yard = Yard(seed=4)
     assert yard.start(steps=[0.5, 1.0], watchS=60.0)[0] == 200
     yard.world.run(1500)
@@ -484,16 +520,16 @@
 def test_calls_warnings_and_versions_that_no_endpoint_runs():
     yard = Yard(seed=5)
     registry = yard.fleet.registries[0]
-    dispatch = dispatcher(registry.context, registry.service, 4.0)
 
     def call(method, *segments, body=b""):
         got = []
-        dispatch(
-            method,
-            ("v1", "rollouts", *segments),
-            "",
-            body,
+        api_call(
+            registry,
             lambda status, answer: got.append((status, answer)),
+            method,
+            "rollouts",
+            *segments,
+            body=body,
         )
         yard.world.until(lambda: got, 20000, 10)
         return got[0][0], json.loads(got[0][1]) if isinstance(got[0][1], str) else got[0][1]
@@ -501,36 +537,37 @@
     assert call("GET")[1] == {"rollouts": []}
     assert call("GET", "s")[0] == 404
     status, answer = call("PUT", "s", body=plan(to="v7").encode())
-    assert status == 400 and "v1, v2" in answer["error"]
-    assert (
-        call("PUT", "s", body=b"\xff")[0] == 400 and call("PUT", "s", body=b" " * 70000)[0] == 413
-    )
-    assert (
-        call("POST", "s")[0] == 405
-        and call("POST", "s", "jump")[0] == 404
-        and call("GET", "s", "pause")[0] == 405
-    )
+    assert status == 400
+    assert "v1, v2" in answer["error"]
+    assert call("PUT", "s", body=b"\xff")[0] == 400
+    assert call("PUT", "s", body=b" " * 70000)[0] == 413
+    assert call("POST", "s")[0] == 405
+    assert call("POST", "s", "jump")[0] == 404
+    assert call("GET", "s", "pause")[0] == 405
     assert call("PUT", "s", body=plan(watchS=60.0).encode())[0] == 200
     assert yard.world.until(
-        lambda: registry.service.views.software_of("s").get("v1", (0, 0))[0] == 3, 8000
+        lambda: call("GET", "s")[1]["endpoints"].get("v1", {"endpoints": 0})["endpoints"] == 3, 8000
     )
     status, row = call("GET", "s")
-    assert status == 200 and row["endpoints"]["v1"]["endpoints"] == 3 and row["warnings"] == []
+    assert status == 200
+    assert row["endpoints"]["v1"]["endpoints"] == 3
+    assert row["warnings"] == []
     assert call("POST", "s", "pause")[1]["state"] == "paused"
-    assert call("POST", "s", "resume")[1]["state"] == SHIFTING
-    assert call("POST", "s", "promote")[1]["state"] == DONE
-    for life in list(registry.service.lives.by_id.values()):
+    assert call("POST", "s", "resume")[1]["state"] == RolloutState.SHIFTING
+    assert call("POST", "s", "promote")[1]["state"] == RolloutState.DONE
+    for life in list(registry.service.instances.by_id.values()):
         if life.software == "v1":
-            life.state = 1
+            life.state = InstanceState.DRAINING
     assert "refused" in call("GET", "s")[1]["warnings"][0]
-    assert call("DELETE", "s")[0] == 200 and call("GET", "s")[0] == 404
+    assert call("DELETE", "s")[0] == 200
+    assert call("GET", "s")[0] == 404
 
 
 def test_unused_rollouts_cost_nothing():
     yard = Yard(seed=6)
     yard.world.run(3000)
     assert all(
-        proxy.forwarder.lease.ask_number == 0 and proxy.forwarder.outcomes is None
+        proxy.forwarder.lease.last_number == 0 and proxy.forwarder.outcomes is None
         for proxy in yard.fleet.proxies.values()
     )
     assert all(keeper.rollouts.judge is None for keeper in yard.fleet.stores.values())
@@ -540,11 +577,13 @@
     """Asked one after the other, eighteen registries' questions took longer than a lease lasts."""
     yard = Yard(seed=7)
     owner = yard.fleet.stores[yard.fleet.leaders()[0] - 1]
-    replies, asked, confirm = [], [], ConfigurationNode.confirm
+    replies, asked, confirm = [], [], ConfigurationNode.confirm_leadership
     monkeypatch.setattr(
-        ConfigurationNode, "confirm", lambda self, done: (asked.append(self), confirm(self, done))
+        ConfigurationNode,
+        "confirm_leadership",
+        lambda self, done: (asked.append(self), confirm(self, done)),
     )
     for _ in range(18):
-        owner.orders.take("serial", "", True, replies.append)
+        owner.commands.submit(CommandRequest("serial", "", True), replies.append)
     assert yard.world.until(lambda: len(replies) == 18, 5000, 10)
     assert len(asked) <= 3
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -5,12 +5,12 @@
 import json
 import random
 
-from simworld import Fleet
-from standins import Endpoint, Scene, client_at, good, request, route
+from support.endpoints import Endpoint, Scene, client_at, good, request, route, status_of
+from support.fleet import Fleet
 
 from stagevale.commands import app
 from stagevale.doctoring import stand_faults
-from stagevale.settings import Bounds
+from stagevale.settings.settings import Bounds
 from stagevale.steering import MARGIN, Histogram, Steering
 
 ON = "[steering]\non = true\n"
@@ -136,7 +136,8 @@
     yard.spans(15000)
     rows = {row["region"]: row for row in yard.steering.rows(yard.world.env.now)}
     for row in rows.values():
-        assert row["count"] > 20 and 0.4 < row["expectedMs"] / row["gotMs"] < 2.5, row
+        assert row["count"] > 20, row
+        assert 0.4 < row["expectedMs"] / row["gotMs"] < 2.5, row
         assert row["medianMs"] <= row["p95Ms"]
 
 
@@ -149,7 +150,8 @@
             steering.answered("s", "b", 100.0, 130.0, 130.0, 1000.0)
         steering.choose("s", {"a", "b"}, 100.0, 400.0, 1.0, False, 1000.0, 50.0)
         shares.append(steering.shares["s"].get("b", 0.0))
-    assert 0.0 < sum(shares) / 50 < 0.15 and len({round(share, 3) for share in shares}) > 20
+    assert 0.0 < sum(shares) / 50 < 0.15
+    assert len({round(share, 3) for share in shares}) > 20
     assert MARGIN > 0.0
 
 
@@ -170,7 +172,8 @@
         (one if luck.random() < 0.5 else other).add(ms)
         both.add(ms)
     one.merge(other)
-    assert one.rows() == both.rows() and one.count() == 500
+    assert one.rows() == both.rows()
+    assert one.count() == 500
     assert 50.0 < one.quantile(0.5) < 110.0 < one.quantile(0.95) < 420.0
 
 
@@ -186,20 +189,25 @@
     }
     assert fleet.insist([0], "replace", json.dumps(config))[0] == 200
     endpoint = Endpoint(world, 1, lambda e, fields, body: good(e, fields, body))
-    fleet.registries[0].service.intake.take_in(endpoint.life(), lambda status, body: None)
-    assert world.until(lambda: all(proxy.targets for proxy in fleet.proxies.values()), 6000)
+    fleet.registries[0].service.heartbeats.heartbeat(
+        endpoint.instance(), lambda _status, _body: None
+    )
+    assert world.until(lambda: all(proxy.targets.by_id for proxy in fleet.proxies.values()), 6000)
     for number in range(120):
         client_at(world, "10.0.1.1").transport.write(request("/p/x", f"x{number}"))
         world.run(50)
     world.run(6000)
-    stands = [registry.service.status() for registry in fleet.registries.values()]
+    stands = [status_of(registry) for registry in fleet.registries.values()]
     rows = [row for stand in stands for proxy in stand["proxies"] for row in proxy["delays"]]
-    assert rows and rows[0]["service"] == "s" and rows[0]["count"] > 20
+    assert rows
+    assert rows[0]["service"] == "s"
+    assert rows[0]["count"] > 20
     monkeypatch.setattr(
-        "stagevale.doctoring.ask", lambda address, path, *rest: (200, stands[int(address[-1])])
+        "stagevale.doctoring.ask", lambda address, _path, *_rest: (200, stands[int(address[-1])])
     )
     controls = [word for number in range(6) for word in ("--control", f"127.0.0.1:800{number}")]
-    assert app(["delays"] + controls) == 0 and "got" in capsys.readouterr().out
+    assert app(["delays"] + controls) == 0
+    assert "got" in capsys.readouterr().out
     assert app(["delays", "--json", "--region", "nowhere"] + controls) == 1
     assert json.loads(capsys.readouterr().out)["delays"] == []
     stand = next(stand for stand in stands if any(proxy["delays"] for proxy in stand["proxies"]))
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -7,19 +7,21 @@
 import pytest
 from test_disk import states
 
-from stagevale import wire
-from stagevale.configuration.answered import AnsweredOrders
-from stagevale.configuration.disk import Folder, NumberedTables
+from stagevale.configuration.change_history import ChangeHistory
 from stagevale.configuration.text_delta import apply_text_delta, text_delta
-from stagevale.configuration.value import Value, read_value
-from stagevale.register import storage
-from stagevale.register.storage import DamagedDisk, Vote, VoteStorage
+from stagevale.configuration.value import ConfigurationValue, read_configuration_value
+from stagevale.consensus import vote_storage
+from stagevale.consensus.vote_storage import DamagedDiskError, Vote, VoteStorage
+from stagevale.quorum.ballot import Ballot
+from stagevale.rpc import codec
+from stagevale.storage.folder import Folder
+from stagevale.storage.tables import NumberedTables
 
 GROUP = ("10.0.0.1:7201", "10.0.0.2:7201~0a")
 
 
 def open_storage(path):
-    return VoteStorage(NumberedTables(Folder(str(path))), read_value)
+    return VoteStorage(NumberedTables(Folder(str(path))), read_configuration_value)
 
 
 def routes(count, version):
@@ -29,20 +31,22 @@
 
 def votes(count, size=20):
     """A first vote and the votes after it, each a change of configuration further."""
-    value = Value(1, 1, routes(size, 1), (), GROUP)
-    found = [Vote("10.0.0.1:7201", GROUP, (1, "a#1"), (1, "a#1"), value)]
+    value = ConfigurationValue(1, 1, routes(size, 1), (), GROUP)
+    found = [Vote("10.0.0.1:7201", GROUP, Ballot(1, "a#1"), Ballot(1, "a#1"), value)]
     for number in range(2, count + 2):
-        value = value.after(
+        value = value.changed(
             version=number,
             config=routes(size, number).replace("/p3/", f"/q{number}/", 1),
-            answered=value.answered.with_order(str(number), f"{number:024x}"),
+            answered=value.answered.with_change(str(number), f"{number:024x}"),
+        )
+        found.append(
+            Vote("10.0.0.1:7201", GROUP, Ballot(number, "a#1"), Ballot(number, "a#1"), value)
         )
-        found.append(Vote("10.0.0.1:7201", GROUP, (number, "a#1"), (number, "a#1"), value))
     return found
 
 
 def same(one, other):
-    return one.promised == other.promised and one.accepted.mark == other.accepted.mark
+    return one.promised == other.promised and one.accepted.digest == other.accepted.digest
 
 
 def test_every_vote_that_was_saved_is_loaded(tmp_path):
@@ -50,7 +54,7 @@
     for vote in votes(60):
         kept.save(vote)
         assert same(open_storage(tmp_path).load(), vote)
-    assert len(os.listdir(tmp_path)) <= 2 * (storage.INCREMENTS_PER_SNAPSHOT + 2)
+    assert len(os.listdir(tmp_path)) <= 2 * (vote_storage.INCREMENTS_PER_SNAPSHOT + 2)
 
 
 def test_a_save_torn_at_any_point_leaves_the_vote_before_it_or_its_own(tmp_path):
@@ -101,14 +105,14 @@
     for vote in votes(5):
         kept.save(vote)
     (tmp_path / "register-3.dat").write_bytes(b"\xff" * 9)
-    with pytest.raises(DamagedDisk, match="save 3 is unreadable"):
+    with pytest.raises(DamagedDiskError, match="save 3 is unreadable"):
         open_storage(tmp_path).load()
 
 
 @pytest.mark.parametrize("content", [b"", b"\xff" * 50])
 def test_foreign_files_are_damage_and_no_empty_disk(tmp_path, content):
     (tmp_path / "register-7.dir").write_bytes(content)
-    with pytest.raises(DamagedDisk):
+    with pytest.raises(DamagedDiskError):
         open_storage(tmp_path).load()
     assert open_storage(tmp_path / "..").load() is None
 
@@ -119,11 +123,11 @@
     kept.save(series[0])
     kept.save(series[1])
 
-    def full(self, number, record):
+    def full(_self, _number, _record):
         raise OSError("no space left")
 
     monkeypatch.setattr(NumberedTables, "write", full)
-    with pytest.raises(OSError):
+    with pytest.raises(OSError, match="no space left"):
         kept.save(series[2])
     monkeypatch.undo()
     kept.save(series[3])
@@ -143,7 +147,8 @@
             kept.save(vote)
         written[size] = (kept.written_bytes - before) / 8, before
     (small, _), (large, whole) = written[50], written[2000]
-    assert large * 10 < whole and large < small * 1.5
+    assert large * 10 < whole
+    assert large < small * 1.5
 
 
 def test_text_deltas_lead_to_the_text():
@@ -155,25 +160,28 @@
             after.insert(draw.randrange(len(after) + 1), draw.choice(("},", "x", '{"a":1},')))
         after = "".join(after)
         assert apply_text_delta(before, text_delta(before, after)) == after
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="a run from 0 over 9 of 1 pieces"):
         apply_text_delta("a", [[0, 9]])
 
 
 def test_deltas_of_values_lead_to_the_value_and_to_nothing_else():
     first, second, third = (vote.accepted for vote in votes(2))
-    assert first.applied(second.delta(first)).mark == second.mark
-    assert read_value(third.packed).mark == third.mark
-    with pytest.raises(ValueError):
-        third.applied(second.delta(first))
+    assert first.with_delta(second.delta_from(first)).digest == second.digest
+    assert read_configuration_value(third.encoded).digest == third.digest
+    with pytest.raises(ValueError, match="leads to another value"):
+        third.with_delta(second.delta_from(first))
 
 
 def test_the_record_of_changes_keeps_the_newest_and_names_its_horizon():
-    record = AnsweredOrders()
+    record = ChangeHistory()
     for number in range(1, 400):
-        record = record.with_order(str(number), f"h{number}")
-    assert record.holds("399", "h399") and not record.holds("399", "h1")
-    assert record.uncertain(143) and not record.uncertain(144)
-    assert record.holds("144", "h144") and not record.holds("143", "h143")
+        record = record.with_change(str(number), f"h{number}")
+    assert record.contains("399", "h399")
+    assert not record.contains("399", "h1")
+    assert record.may_have_dropped(143)
+    assert not record.may_have_dropped(144)
+    assert record.contains("144", "h144")
+    assert not record.contains("143", "h143")
 
 
 def test_a_vote_written_before_voters_had_identities_is_read(tmp_path):
@@ -184,16 +192,17 @@
         0,
         [4, "10.0.0.1:7201#x"],
         [3, "y#z"],
-        wire.squeeze(wire.pack(value)),
+        codec.compress(codec.encode(value)),
         ["10.0.0.2:7200"],
     ]
-    NumberedTables(Folder(str(tmp_path))).write(9, wire.pack(record))
+    NumberedTables(Folder(str(tmp_path))).write(9, codec.encode(record))
     vote = open_storage(tmp_path).load()
     assert (vote.voter, vote.promised, vote.peers) == (
         "",
         (4, "10.0.0.1:7201#x"),
         ("10.0.0.2:7200",),
     )
-    assert vote.accepted.version == 10 and vote.accepted.evacuated == ("a1",)
-    assert all(vote.accepted.answered.holds(name, hashed) for name, hashed in taken.items())
-    assert read_value(vote.accepted.packed).mark == vote.accepted.mark
+    assert vote.accepted.version == 10
+    assert vote.accepted.evacuated == ("a1",)
+    assert all(vote.accepted.answered.contains(name, hashed) for name, hashed in taken.items())
+    assert read_configuration_value(vote.accepted.encoded).digest == vote.accepted.digest
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -3,11 +3,11 @@
 import json
 
 import pytest
-from simworld import Fleet
-from standins import Scene, good, request, route
+from support.endpoints import Scene, good, request, route, status_of
+from support.fleet import Fleet
 
-from stagevale.configuration.checking import read_config
-from stagevale.registrations import DRAINING
+from stagevale.configuration.validation import check_configuration
+from stagevale.discovery.instance import InstanceState
 
 TENANTS = [
     {"name": "co-op", "apiKeys": ["key-one", "key-two"], "priority": 0},
@@ -45,7 +45,8 @@
     day.world.run(300)
     assert client.statuses() == ["200"]
     fields = day.seen[0]
-    assert fields[b"tenant"] == b"co-op" and b"authorization" not in fields
+    assert fields[b"tenant"] == b"co-op"
+    assert b"authorization" not in fields
     assert not any(b"key-two" in value for value in fields.values())
 
 
@@ -57,7 +58,8 @@
     )
     day.client(request("/open/x", more=b"Tenant: trust\r\n"))
     day.world.run(300)
-    assert heads and b"tenant" not in heads[0]
+    assert heads
+    assert b"tenant" not in heads[0]
 
 
 @pytest.mark.parametrize(
@@ -76,7 +78,8 @@
     day = scene()
     client = day.client(request(more=head) + request("/e/x", "2", "POST", b"crate", more=head))
     day.world.run(300)
-    assert client.statuses() == ["401", "401"] and not day.seen
+    assert client.statuses() == ["401", "401"]
+    assert not day.seen
 
 
 def test_public_routes_need_no_key_and_still_withhold_one():
@@ -112,37 +115,41 @@
     assert slow.ran == ["1"]
     day.change(tenants=[{**TENANTS[0], "apiKeys": ["key-two"]}, TENANTS[1]])
     day.world.run(900)
-    assert client.statuses() == ["200", "401"] and slow.ran == ["1"]
+    assert client.statuses() == ["200", "401"]
+    assert slow.ran == ["1"]
     client.transport.write(
         request("/e/3", "3", "POST", b"c", more=bearing(b"key-one"))
         + request("/e/4", "4", "POST", b"d", more=bearing(b"key-two"))
     )
     day.world.run(900)
-    assert client.statuses() == ["200", "401", "401", "200"] and slow.ran == ["1", "4"]
+    assert client.statuses() == ["200", "401", "401", "200"]
+    assert slow.ran == ["1", "4"]
 
 
 def test_key_revoked_while_the_request_waits_for_an_endpoint():
     day = scene()
-    day.tell(day.endpoints[0].life(state=DRAINING, seq=5))
+    day.update(day.endpoints[0].instance(state=InstanceState.DRAINING, seq=5))
     client = day.client(request(more=bearing(b"key-one")))
     day.world.run(30)
     day.change(tenants=[TENANTS[1]])
     day.endpoint()
     day.proxy.forwarder.pump_all()
     day.world.run(300)
-    assert client.statuses() == ["401"] and not day.endpoints[1].ran
+    assert client.statuses() == ["401"]
+    assert not day.endpoints[1].ran
 
 
 def test_homes_of_tenant_and_route_both_bind():
     day = scene()
     day.endpoints[0].rule = lambda endpoint, fields, body: good(endpoint, fields, body)
     far = day.endpoint(zone="b1")
-    day.tell(day.endpoints[0].life(state=DRAINING, seq=5))
+    day.update(day.endpoints[0].instance(state=InstanceState.DRAINING, seq=5))
     client = day.client(
         request(id="1", more=bearing(b"key-three")) + request(id="2", more=bearing(b"key-one"))
     )
     day.world.run(600)
-    assert client.statuses() == ["503", "200"] and far.ran == ["2"]
+    assert client.statuses() == ["503", "200"]
+    assert far.ran == ["2"]
 
 
 def test_a_tenants_priority_goes_over_the_routes():
@@ -161,7 +168,8 @@
     day.client(request(id="f", more=bearing(b"one")))
     day.world.run(1500)
     ran = day.endpoints[0].ran
-    assert "f" in ran and ran.index("f") < min(
+    assert "f" in ran
+    assert ran.index("f") < min(
         [ran.index(i) for i in ("l0", "l1", "l2", "l3") if i in ran] or [99]
     )
 
@@ -197,9 +205,11 @@
     ],
 )
 def test_invalid_tenants_are_a_400_that_names_the_place_and_no_key(tenants, where):
-    checked = read_config(text(tenants), {"a", "b"})
-    assert checked.is_error() and checked.error.status == 400
-    assert where in checked.error.reason and "secret" not in checked.error.reason
+    checked = check_configuration(text(tenants), {"a", "b"})
+    assert checked.is_error()
+    assert checked.error.status == 400
+    assert where in checked.error.reason
+    assert "secret" not in checked.error.reason
 
 
 def test_the_store_refuses_tenants_with_an_unknown_home():
@@ -227,7 +237,7 @@
     fleet.world.run(3000)
     assert not any("hidden-key" in line for line in fleet.world.lines)
     assert all(
-        "hidden-key" not in json.dumps(registry.service.status())
+        "hidden-key" not in json.dumps(status_of(registry))
         for registry in fleet.registries.values()
     )
 
@@ -239,7 +249,7 @@
         settings='[platform]\naddress = "10.8.0.1:80"\nduties = ["usage_report"]\n',
     )
     counts = day.proxy.forwarder.counts
-    counts.told(1.7e12, day.world.env.now)
+    counts.set_agreed_time(1.7e12, day.world.env.now)
     day.world.run(9000)
     turned = []
 
@@ -261,7 +271,7 @@
     day.world.run(1500)
     assert client.statuses()[:3] == ["200", "200", "200"]
     total = {}
-    for window in counts.counts.values():
-        for tenant, number in window.items():
+    for _, text in counts.rows(everything=True):
+        for tenant, number in json.loads(text).items():
             total[tenant] = total.get(tenant, 0) + number
     assert total == {"co-op": 2, "trust": 1}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,10 +5,13 @@
 import struct
 
 import pytest
-from simworld import Fleet, SimTransport
-from standins import Client
+from support.endpoints import Client
+from support.fleet import Fleet
+from support.network import SimTransport
 
-from stagevale import wire
+from stagevale.rpc import codec
+from stagevale.rpc.connection import MAX_FRAME_BYTES
+from stagevale.rpc.kinds import MessageKind
 
 
 def dial(fleet, address):
@@ -25,28 +28,28 @@
 
 
 def frame(message):
-    data = wire.pack(message)
+    data = codec.encode(message)
     return struct.pack("!I", len(data)) + data
 
 
-HELLO = frame([wire.HELLO, 0, "10.7.0.1:7200"])
+HELLO = frame([MessageKind.HELLO, 0, "10.7.0.1:7200"])
 
 
 @pytest.mark.parametrize(
     "data",
     [
         struct.pack("!I", 5) + b"\xff\x00\xff\x00\xff",
-        struct.pack("!I", wire.MAX_FRAME_BYTES + 1),
-        frame([wire.LIVES, 0, []]),
+        struct.pack("!I", MAX_FRAME_BYTES + 1),
+        frame([MessageKind.INSTANCES, 0, []]),
         frame(["x"]),
-        frame([wire.HELLO, 0, 7]),
+        frame([MessageKind.HELLO, 0, 7]),
         HELLO + frame([999, 0, []]),
-        HELLO + frame([wire.LIVES, 0, [[["i", "s"]], 0]]),
-        HELLO + frame([wire.PREPARE, 1, [["a", 5]]]),
-        HELLO + frame([wire.ACCEPT, 1, [[5, "a"], b"nothing"]]),
-        HELLO + frame([wire.CHOSEN, 0, 5]),
-        HELLO + frame([wire.SUBSCRIBE, 0, ["x"]]),
-        HELLO + frame([wire.LIVES]),
+        HELLO + frame([MessageKind.INSTANCES, 0, [[["i", "s"]], 0]]),
+        HELLO + frame([MessageKind.PREPARE, 1, [["a", 5]]]),
+        HELLO + frame([MessageKind.ACCEPT, 1, [[5, "a"], b"nothing"]]),
+        HELLO + frame([MessageKind.COMMITTED_VALUE, 0, 5]),
+        HELLO + frame([MessageKind.SUBSCRIBE, 0, ["x"]]),
+        HELLO + frame([MessageKind.INSTANCES]),
     ],
 )
 def test_an_unreadable_message_closes_its_connection_and_nothing_else(data):
@@ -58,7 +61,7 @@
     client.transport.write(data)
     fleet.world.run(500)
     assert client.closed
-    assert [line for line in fleet.world.lines if "wire:" in line and "connection closed" in line]
+    assert [line for line in fleet.world.lines if "rpc:" in line and "connection closed" in line]
     assert fleet.world.until(lambda: len(fleet.leaders()) == 1 and fleet.formed(12), 20000)
 
 
@@ -66,9 +69,9 @@
     fleet = Fleet(32)
     fleet.world.run(4000)
     client = dial(fleet, ("10.0.0.1", 7201))
-    for byte in HELLO + frame([wire.CONFIRM, 7, [[0, ""], "10.0.0.1:7201"]]):
+    for byte in HELLO + frame([MessageKind.CONFIRM_LEADERSHIP, 7, [[0, ""], "10.0.0.1:7201"]]):
         client.transport.write(bytes([byte]))
     fleet.world.run(1000)
     assert not client.closed
     size = struct.unpack_from("!I", client.got)[0]
-    assert wire.unpack(client.got[4 : 4 + size], "answer", "here")[:2] == [wire.ANSWER, 7]
+    assert codec.decode(client.got[4 : 4 + size], "answer", "here")[:2] == [MessageKind.REPLY, 7]
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -13,19 +13,25 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 sys.path[:0] = [ROOT, os.path.join(ROOT, "tests")]
 
-from simworld import SimContext, World  # noqa: E402
+from support.network import SimContext, World  # noqa: E402
 
-from stagevale import wire  # noqa: E402
-from stagevale.balancing import Chooser, Target  # noqa: E402
+from stagevale.api.http_connection import HttpConnection  # noqa: E402
+from stagevale.api.registry_api import RegistryApi  # noqa: E402
+from stagevale.balancing.chooser import Chooser  # noqa: E402
 from stagevale.balancing.snapshot import empty_snapshot  # noqa: E402
-from stagevale.configuration.answered import AnsweredOrders  # noqa: E402
-from stagevale.configuration.value import Value, read_value  # noqa: E402
-from stagevale.leases import Lease  # noqa: E402
-from stagevale.membership import Membership  # noqa: E402
-from stagevale.placement import place  # noqa: E402
-from stagevale.registrations import READY, Life, Lives  # noqa: E402
-from stagevale.registrations.calls import CallConnection, dispatcher  # noqa: E402
-from stagevale.settings import read_settings  # noqa: E402
+from stagevale.balancing.target import Target  # noqa: E402
+from stagevale.configuration.change_history import ChangeHistory  # noqa: E402
+from stagevale.configuration.value import ConfigurationValue, read_configuration_value  # noqa: E402
+from stagevale.discovery.instance import Instance, InstanceState  # noqa: E402
+from stagevale.discovery.instance_table import InstanceTable  # noqa: E402
+from stagevale.leases.lease import Lease  # noqa: E402
+from stagevale.membership.member import MemberState  # noqa: E402
+from stagevale.membership.membership import Membership  # noqa: E402
+from stagevale.membership.overview import build_overview  # noqa: E402
+from stagevale.placement.rule import next_placement  # noqa: E402
+from stagevale.rpc import codec  # noqa: E402
+from stagevale.rpc.kinds import MessageKind  # noqa: E402
+from stagevale.settings.settings import read_settings  # noqa: E402
 
 SETTINGS = """
 [daemon]
@@ -104,8 +110,10 @@
         membership = Membership(
             context, address, program, f"{ip}:9000" if program == "proxy" else ""
         )
-        membership.placer = lambda members, table, moves: place(
-            members, table, moves, settings.zones
+        membership.set_placement_rule(
+            lambda members, table, handoffs: next_placement(
+                members, table, handoffs, settings.zones
+            )
         )
         self.members[address] = membership
         membership.start()
@@ -114,7 +122,8 @@
     def formed(self):
         alive = [m for m in self.members.values() if m.context.alive]
         return all(
-            m.converged() and sum(1 for x in m.state.members.values() if x.state == 1) == len(alive)
+            m.is_converged()
+            and sum(1 for x in m.state.members.values() if x.state == MemberState.UP) == len(alive)
             for m in alive
         )
 
@@ -168,7 +177,10 @@
         calmCpuMsPerS=cpu / daemons * 100.0,
     )
     one = fleet.members[fleet.ip(1, 1) + ":7200"]
-    row.update(stateBytes=len(one.packed_state()), overviewBytes=len(one.overview()))
+    row.update(
+        stateBytes=len(one.gossip.encoded_state()),
+        overviewBytes=len(codec.encode([MessageKind.OVERVIEW, *build_overview(one.gossip)])),
+    )
     fleet.sent[2] = 0
     fleet.restart(min(3, proxies - 1))
     done, ms, messages, size, cpu = fleet.settle(90000)
@@ -242,8 +254,8 @@
 def configuration_row(routes, tenants, services):
     """What a proxy pays for each new version of the configuration, and what it holds."""
     text = json.dumps(configuration_of(routes, tenants, services), separators=(",", ":"))
-    value, pack_ms = timed(lambda: Value(9, 9, text, (), (), {}))
-    read, unpack_ms = timed(lambda: read_value(value.packed))
+    value, pack_ms = timed(lambda: ConfigurationValue(9, 9, text, (), ()))
+    read, unpack_ms = timed(lambda: read_configuration_value(value.encoded))
     tracemalloc.start()
     snapshot, table_ms = timed(lambda: empty_snapshot().with_value(read))
     held, peak = tracemalloc.get_traced_memory()
@@ -254,7 +266,7 @@
         "tenants": tenants,
         "services": services,
         "textBytes": len(text),
-        "packedBytes": len(value.packed),
+        "packedBytes": len(value.encoded),
         "packMs": pack_ms,
         "unpackMs": unpack_ms,
         "tableMs": table_ms,
@@ -268,16 +280,16 @@
     """What one change of one route costs a store: sent and written as a change, or whole."""
     table = configuration_of(routes, tenants, services)
     text = json.dumps(table, separators=(",", ":"))
-    before = Value(9, 9, text, (), (), AnsweredOrders().with_order("9", "f" * 24))
+    before = ConfigurationValue(9, 9, text, (), (), ChangeHistory().with_change("9", "f" * 24))
     table["version"], table["routes"][routes // 2]["timeoutMs"] = "r10", 2500
     text = json.dumps(table, separators=(",", ":"))
-    answered = before.answered.with_order("10", "e" * 24)
-    after = before.after(version=10, config=text, answered=answered)
-    marks, mark_ms = timed(lambda: (before.mark, after.mark))
-    delta, delta_ms = timed(lambda: after.delta(before))
-    applied, apply_ms = timed(lambda: before.applied(delta))
-    whole, whole_ms = timed(lambda: len(after.packed))
-    assert applied.mark == marks[1]
+    answered = before.answered.with_change("10", "e" * 24)
+    after = before.changed(version=10, config=text, answered=answered)
+    marks, mark_ms = timed(lambda: (before.digest, after.digest))
+    delta, delta_ms = timed(lambda: after.delta_from(before))
+    applied, apply_ms = timed(lambda: before.with_delta(delta))
+    whole, whole_ms = timed(lambda: len(after.encoded))
+    assert applied.digest == marks[1]
     return {
         "routes": routes,
         "tenants": tenants,
@@ -294,16 +306,16 @@
     """What a registry holds of endpoints, and what a proxy is told when it starts."""
 
     def fill():
-        lives = Lives()
+        lives = InstanceTable()
         for n in range(endpoints):
             lives.merge(
-                Life(
+                Instance(
                     f"i-{n:08x}",
                     f"service-{n % services:05d}",
                     f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080",
                     f"z{n % zones}",
                     4,
-                    READY,
+                    InstanceState.READY,
                     5,
                     0,
                     0,
@@ -320,14 +332,27 @@
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     beats = [
-        Life(life.id, life.service, life.address, life.zone, 4, READY, 6, 0, 0, 0, 2500.0, "v1")
+        Instance(
+            life.id,
+            life.service,
+            life.address,
+            life.zone,
+            4,
+            InstanceState.READY,
+            6,
+            0,
+            0,
+            0,
+            2500.0,
+            "v1",
+        )
         for life in list(lives.by_id.values())[:5000]
     ]
     _, beat_ms = timed(lambda: [lives.merge(life, 2500.0) for life in beats])
-    _, mark_ms = timed(lives.mark_of_all)
-    rows = [life.fields(2000.0) for life in lives.by_id.values()]
-    packed, pack_ms = timed(lambda: wire.pack_rows(rows))
-    _, unpack_ms = timed(lambda: wire.unpack_rows(packed))
+    _, mark_ms = timed(lives.checksum_of_all)
+    rows = [life.to_row(2000.0) for life in lives.by_id.values()]
+    packed, pack_ms = timed(lambda: codec.encode_rows(rows))
+    _, unpack_ms = timed(lambda: codec.decode_rows(packed))
     return {
         "endpoints": endpoints,
         "services": services,
@@ -371,33 +396,23 @@
             listen='control = "10.0.0.1:8000"',
         )
     )
-    context, lives = SimContext(World(1), settings, "r"), Lives()
+    context, lives = SimContext(World(1), settings, "r"), InstanceTable()
 
-    class Desk:
-        """As much of the registry as a heartbeat meets: it merges and answers."""
+    class Receiver:
+        """As much of a registry as a heartbeat meets: it merges and answers."""
 
         @staticmethod
-        def beat(id, table, answer):
-            lives.merge(
-                Life(
-                    id,
-                    table["details"]["service"],
-                    table["address"],
-                    table["details"]["zone"],
-                    4,
-                    READY,
-                    table["status"]["callSeq"],
-                    0,
-                    0,
-                    0,
-                    0.0,
-                    table["details"]["version"],
-                ),
-                0.0,
-            )
+        def heartbeat(instance, answer):
+            lives.merge(instance, 0.0)
             answer(200, {})
 
-    connection = CallConnection(context, dispatcher(context, Desk, 4.0))
+    class Service:
+        """A registry that receives heartbeats only."""
+
+        heartbeats = Receiver
+
+    Service.context = context
+    connection = HttpConnection(context, RegistryApi(Service, 4.0).router.dispatch)
     connection.connection_made(Sink())
 
     def send():
@@ -460,7 +475,7 @@
     chooser = Chooser(SimContext(world, settings, "p"), "10.1.0.1:7200")
     chooser.lease = Lease(settings.bounds)
     snapshot = empty_snapshot().with_value(
-        Value(1, 1, json.dumps(configuration_of(1, 0, 1)), (), (), {})
+        ConfigurationValue(1, 1, json.dumps(configuration_of(1, 0, 1)), (), ())
     )
     luck = random.Random(1)
     targets = tuple(
