--- a/stagevale/balancing/policies.py
+++ b/stagevale/balancing/policies.py
@@ -2,10 +2,21 @@
 Off by default.
 """
 
+from typing import TYPE_CHECKING, Any
+
 from lupa import lua54
 
+from stagevale.balancing.target import Target
+from stagevale.runtime.context import Log
+
+if TYPE_CHECKING:
+    from stagevale.balancing.chooser import ChoosableRequest
+
 MEMORY_BYTES = 2 * 1024 * 1024
+SOURCE_BYTES = 64 * 1024
 STEPS = 2000
+MOST_COST = 1e12
+# A policy that has failed so often is left out.
 FAILURES_BORNE = 20
 GUARD = """
 local sethook, load, error, pcall, type = debug.sethook, load, error, pcall, type
@@ -29,74 +40,88 @@
 """
 
 
-class PolicyFailure(Exception):
+class PolicyError(Exception):
     """A policy that can't be used; the message says why."""
 
 
-def first_line(failure):
-    return (str(failure).splitlines() or ["out of memory"])[0]
-
-
 class Policy:
-    """One policy, bounded in steps and memory; its failures fall back to the built-in cost."""
+    """One policy, bounded in steps and memory; where it fails the built-in cost holds.
+
+    Raises:
+        PolicyError: the source is no policy.
+    """
 
-    __slots__ = ("lua", "call", "failures", "log")
+    __slots__ = ("lua", "log", "failures", "_function")
 
-    def __init__(self, source, log):
+    def __init__(self, source: str, log: Log) -> None:
         self.log = log
         self.failures = 0
         try:
             self.lua = lua54.LuaRuntime(
                 max_memory=MEMORY_BYTES, register_eval=False, register_builtins=False
             )
-            self.call = self.lua.execute(GUARD)(source, STEPS)
-        except (lua54.LuaError, MemoryError) as failure:
-            raise PolicyFailure(first_line(failure)) from None
+            self._function = self.lua.execute(GUARD)(source, STEPS)
+        except (lua54.LuaError, MemoryError) as error:
+            raise PolicyError(_first_line(error)) from None
 
-    def cost(self, request, target, cost, load):
+    def cost(self, request: "ChoosableRequest", target: Target, cost: float, load: float) -> float:
         """The policy's cost for this endpoint, or the built-in one where the policy fails."""
         if self.failures >= FAILURES_BORNE:
             return cost
         try:
-            own = self.call(
-                self.lua.table(
-                    route=request.route.name,
-                    service=request.service,
-                    pure=request.route.pure,
-                    priority=request.route.priority,
-                    target_ms=request.route.target_ms,
-                ),
-                self.lua.table(
-                    id=target.id,
-                    zone=target.zone,
-                    region=target.region,
-                    slots=target.slots,
-                    load=load,
-                    speed=target.speed,
-                    cost=cost,
-                ),
-            )
-            if isinstance(own, bool) or not isinstance(own, (int, float)) or not 0 <= own < 1e12:
-                raise PolicyFailure(f"want a cost from 0, got {own!r}")
-            return float(own)
-        except (lua54.LuaError, MemoryError, PolicyFailure) as failure:
+            answer = self._function(self._request(request), self._endpoint(target, cost, load))
+            return _checked_cost(answer)
+        except (lua54.LuaError, MemoryError, PolicyError) as error:
             self.failures += 1
-            self.log.warning(
-                "policy: %s%s.",
-                first_line(failure),
-                "; it is left out from now on" if self.failures >= FAILURES_BORNE else "",
-            )
+            is_left_out = self.failures >= FAILURES_BORNE
+            suffix = "; it is left out from now on" if is_left_out else ""
+            self.log.warning("policy: %s%s.", _first_line(error), suffix)
             return cost
 
+    def _request(self, request: "ChoosableRequest") -> Any:
+        return self.lua.table(
+            route=request.route.name,
+            service=request.service,
+            pure=request.route.pure,
+            priority=request.route.priority,
+            target_ms=request.route.target_ms,
+        )
 
-def load_policy(path, log):
-    """The policy in a file; raises PolicyFailure with the file's name."""
+    def _endpoint(self, target: Target, cost: float, load: float) -> Any:
+        return self.lua.table(
+            id=target.id,
+            zone=target.zone,
+            region=target.region,
+            slots=target.slots,
+            load=load,
+            speed=target.speed,
+            cost=cost,
+        )
+
+
+def load_policy(path: str, log: Log) -> Policy:
+    """The policy in a file.
+
+    Raises:
+        PolicyError: with the file's name.
+    """
     try:
         with open(path, encoding="utf-8") as file:
-            source = file.read(64 * 1024)
-    except (OSError, UnicodeDecodeError) as failure:
-        raise PolicyFailure(f"{path}: can't be read: {failure}") from None
+            source = file.read(SOURCE_BYTES)
+    except (OSError, UnicodeDecodeError) as error:
+        raise PolicyError(f"{path}: can't be read: {error}") from None
     try:
         return Policy(source, log)
-    except PolicyFailure as failure:
-        raise PolicyFailure(f"{path}: {failure}") from None
+    except PolicyError as error:
+        raise PolicyError(f"{path}: {error}") from None
+
+
+def _checked_cost(answer: Any) -> float:
+    is_number = isinstance(answer, int | float) and not isinstance(answer, bool)
+    if not is_number or not 0 <= answer < MOST_COST:
+        raise PolicyError(f"want a cost from 0, got {answer!r}")
+    return float(answer)
+
+
+def _first_line(error: BaseException) -> str:
+    return (str(error).splitlines() or ["out of memory"])[0]
--- a/stagevale/daemons/proxy.py
+++ b/stagevale/daemons/proxy.py
@@ -5,6 +5,7 @@
 
 from stagevale.api.http_connection import HttpConnection
 from stagevale.api.registry_api import readiness_router
+from stagevale.balancing.snapshot import ProxyMember
 from stagevale.configuration.value import read_configuration_value
 from stagevale.daemons.daemon import Daemon
 from stagevale.discovery.instance import Instance
@@ -12,9 +13,8 @@
 from stagevale.edge.feed_client import FeedClient
 from stagevale.edge.lease_client import LeaseClient
 from stagevale.edge.target_table import TargetTable
-from stagevale.forwarding import Forwarder
-from stagevale.forwarding.client import ClientConnection
-from stagevale.forwarding.endpoint import HOP_HEADERS, EndpointConnection
+from stagevale.forwarding.client_connection import ClientConnection
+from stagevale.forwarding.forwarder import Forwarder
 from stagevale.rpc import codec
 from stagevale.rpc.kinds import MessageKind
 from stagevale.runtime.context import Context
@@ -62,23 +62,23 @@
     def __init__(self, context: Context, settings_path: str) -> None:
         super().__init__(context, PROGRAM, 0, settings_path)
         settings = context.settings
-        self.forwarder = Forwarder(context, self.rpc.address, EndpointConnection, HOP_HEADERS)
+        self.forwarder = Forwarder(context, self.rpc.address)
         self.targets = TargetTable(context)
         self.instances_received = False
         self._front_server: asyncio.Server | None = None
         if settings.steering:
-            from stagevale.steering import Steering
+            from stagevale.latency_routing.router import LatencyRouter
 
-            self.forwarder.chooser.steering = Steering(
+            self.forwarder.chooser.latency_router = LatencyRouter(
                 settings.bounds,
                 settings.region,
                 context.random,
-                self.forwarder.chooser.rtt_ms,
+                self.forwarder.chooser.estimates.rtt_ms,
             )
         self.incarnation = f"{context.random.getrandbits(INCARNATION_BITS):08x}"
         self.usage: UsageCounter | None = None
         if USAGE_ROLE in settings.duties:
-            self.usage = self.forwarder.counts = UsageCounter(settings.bounds)
+            self.usage = self.forwarder.usage = UsageCounter(settings.bounds)
         self.feed = FeedClient(self, self._on_feed)
         self.leases = LeaseClient(self)
         self.membership.add_listener(self._on_membership_changed)
@@ -112,11 +112,11 @@
         chooser.policy = None
         if not path:
             return
-        from stagevale.balancing.policies import PolicyFailure, load_policy
+        from stagevale.balancing.policies import PolicyError, load_policy
 
         try:
             chooser.policy = load_policy(path, self.context.log)
-        except PolicyFailure as error:
+        except PolicyError as error:
             # An operator's mistake: the trace says nothing.
             text = "policy: %s; the built-in choice is used."
             self.context.log.error(text, error)  # noqa: TRY400 - see above
@@ -151,7 +151,7 @@
                 "proxy: %s.", "ready to serve" if self.is_ready() else "no longer ready to serve"
             )
             self.feed.renew()
-        self.forwarder.pump_all()
+        self.forwarder.offer_queued()
 
     def _take_value(self, encoded: bytes) -> None:
         before = self.forwarder.snapshot
@@ -188,7 +188,7 @@
 
     def _on_membership_changed(self) -> None:
         proxies = tuple(
-            (member.address, member.zone, member.region)
+            ProxyMember(member.address, member.zone, member.region)
             for member in self.membership.members(PROGRAM)
         )
         if proxies != self.forwarder.snapshot.proxies:
@@ -204,7 +204,9 @@
             age_ms: how long ago the last report was.
         """
         chooser = self.forwarder.chooser
-        latencies = [[region, round(rtt_ms, 1)] for region, rtt_ms in chooser.rtt_ms.items()]
+        latencies = [
+            [region, round(rtt_ms, 1)] for region, rtt_ms in chooser.estimates.rtt_ms.items()
+        ]
         report: list[Any] = [
             age_ms,
             self.forwarder.take_flows(),
@@ -213,9 +215,9 @@
         ]
         if self.forwarder.sessions is not None:
             report.append(self.forwarder.sessions.counts)
-        if chooser.steering is not None:
+        if chooser.latency_router is not None:
             report += [{}] * (REPORT_FIELDS - len(report))
-            report.append(chooser.steering.rows(self.context.now_ms()))
+            report.append(chooser.latency_router.rows(self.context.now_ms()))
         return report
 
     def report_usage(self, everything: bool) -> None:
@@ -249,8 +251,8 @@
 
     def _finish_when_idle(self) -> None:
         for connection in list(self.forwarder.connections):
-            if connection.idle():
-                connection.transport.close()
+            if connection.is_idle():
+                connection.close()
         if not self.forwarder.connections and not self.forwarder.running:
             self.finish()
         else:
--- a/stagevale/doctoring/__init__.py
+++ b/stagevale/doctoring/__init__.py
@@ -93,11 +93,11 @@
             Finding(path, "a core machine without daemon.dataPath", "give it a folder on its disk")
         )
     if settings.policy_path:
-        from stagevale.balancing.policies import PolicyFailure, load_policy
+        from stagevale.balancing.policies import PolicyError, load_policy
 
         try:
             load_policy(settings.policy_path, None)
-        except PolicyFailure as failure:
+        except PolicyError as failure:
             found.append(
                 Finding(path, f"policy.path: {failure}", "mend the policy, or drop the line")
             )
--- a/stagevale/edge/lease_client.py
+++ b/stagevale/edge/lease_client.py
@@ -63,4 +63,4 @@
         forwarder.lease.grant(grant.number, grant.newest_serial, forwarder.snapshot.serial)
         if peer == self.proxy.feed.feeder:
             self.proxy.feed.pull_if_newer(grant.newest_serial)
-        forwarder.pump_all()
+        forwarder.offer_queued()
--- a/stagevale/rehearsing/__init__.py
+++ b/stagevale/rehearsing/__init__.py
@@ -6,9 +6,10 @@
 import random
 
 from stagevale.balancing.chooser import Chooser
-from stagevale.balancing.snapshot import Limits, Route, Service, Snapshot
+from stagevale.balancing.snapshot import Limits, ProxyMember, Route, Service, Snapshot
 from stagevale.balancing.target import Target
-from stagevale.forwarding import REFUSE_SHARE
+from stagevale.forwarding.forwarder import REJECT_SHARE
+from stagevale.leases.lease import Lease
 from stagevale.placement.fronts import ReadyFront, fronts_for
 
 PURE, EFFECTFUL = "repeatable", "at most once"
@@ -154,14 +155,14 @@
         "front",
         "runs",
         "homes",
-        "prefers",
+        "preferred_id",
     )
 
     def __init__(self, flow, front, start_ms):
         self.flow, self.front = flow, front
         self.route, self.service = flow.route, flow.service
         self.homes = (flow.route.homes,) if flow.route.homes else ()
-        self.prefers = None
+        self.preferred_id = None
         self.start_ms, self.tried, self.expected_ms, self.runs = start_ms, (), None, 0
 
 
@@ -172,8 +173,8 @@
 
     def __init__(self, plan, address, zone, region, proxies, lost, flows, rng):
         self.zone, self.region = zone, region
-        self.chooser = Chooser(Place(zone, region, plan.bounds, rng), address)
-        self.chooser.rtt_ms = dict(plan.rtt_ms.get(zone, {}))
+        self.chooser = Chooser(Place(zone, region, plan.bounds, rng), address, Lease(plan.bounds))
+        self.chooser.estimates.rtt_ms = dict(plan.rtt_ms.get(zone, {}))
         tables = {}
         for row in plan.endpoints.values():
             its_region = plan.region_of.get(row["zone"], "")
@@ -185,11 +186,11 @@
             target.speed = plan.speeds.get(row["id"], 1.0)
             tables.setdefault(row["service"], []).append(target)
         for flow in flows:
-            self.chooser.work[flow.route.name] = flow.work_ms
-            self.chooser.bytes[flow.route.name] = flow.bytes
+            self.chooser.estimates.work[flow.route.name] = flow.work_ms
+            self.chooser.estimates.bytes[flow.route.name] = flow.bytes
         counted = [(flow.bytes, flow.per_s) for flow in flows]
         if counted:
-            self.chooser.mean_bytes = max(
+            self.chooser.estimates.mean_bytes = max(
                 1.0, sum(b * n for b, n in counted) / max(0.001, sum(n for _, n in counted))
             )
         self.snapshot = Snapshot(
@@ -205,7 +206,9 @@
     def way_ms(self, target):
         """How long a message takes from here to the endpoint."""
         return (
-            0.0 if target.region == self.region else self.chooser.rtt_ms.get(target.region, 0.0) / 2
+            0.0
+            if target.region == self.region
+            else self.chooser.estimates.rtt_ms.get(target.region, 0.0) / 2
         )
 
 
@@ -249,7 +252,9 @@
     rng = random.Random(seed)
     flows = shifted(plan, lost)
     alive = {address: row for address, row in plan.fronts.items() if row[2] != lost}
-    proxies = tuple((address, zone, region) for address, (_, zone, region) in sorted(alive.items()))
+    proxies = tuple(
+        ProxyMember(address, zone, region) for address, (_, zone, region) in sorted(alive.items())
+    )
     fronts = {
         address: Front(plan, address, zone, region, proxies, lost, flows.get(address, ()), rng)
         for address, (_, zone, region) in alive.items()
@@ -274,11 +279,11 @@
         target = front.chooser.choose(trial, front.snapshot, now_ms)
         tally = tallies.setdefault(trial.route.name, Tally(PURE if trial.route.pure else EFFECTFUL))
         if target is None:
-            if now_ms - trial.start_ms >= trial.route.target_ms * REFUSE_SHARE:
+            if now_ms - trial.start_ms >= trial.route.target_ms * REJECT_SHARE:
                 tally.requests += 1
                 tally.refused += 1
             else:
-                put(now_ms + trial.route.target_ms * REFUSE_SHARE / 4, "offer", trial)
+                put(now_ms + trial.route.target_ms * REJECT_SHARE / 4, "offer", trial)
             return
         trial.runs += 1
         tally.runs = max(tally.runs, trial.runs)
--- a/stagevale/sessions/idempotency.py
+++ b/stagevale/sessions/idempotency.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from stagevale.forwarding.answer import Answer
 from stagevale.membership.member import MemberState
 from stagevale.rpc.kinds import MessageKind
 from stagevale.sessions.endpoint_affinity import EndpointAffinity
@@ -17,7 +18,7 @@
     ReplyCode,
     ReserveKeyRequest,
 )
-from stagevale.sessions.ports import ForwardedAnswer, SessionForwarder, SessionRequest
+from stagevale.sessions.ports import SessionForwarder, SessionRequest
 from stagevale.sessions.records import AttemptId, KeyRecord, KeyState, SessionRecord
 from stagevale.sessions.session_leases import SessionLease, SessionLeases
 from stagevale.sessions.stored_answer import StoredAnswer
@@ -38,10 +39,10 @@
 UNPROCESSABLE = http.HTTPStatus.UNPROCESSABLE_ENTITY.value
 CONFLICT = http.HTTPStatus.CONFLICT.value
 GATEWAY_TIMEOUT = http.HTTPStatus.GATEWAY_TIMEOUT.value
-NOT_RECORDED: ForwardedAnswer = (
+NOT_RECORDED = Answer(
     GATEWAY_TIMEOUT,
     b"",
-    [("Content-Type", "text/plain")],
+    [(b"Content-Type", b"text/plain")],
     b"its answer could not be noted in time",
 )
 
@@ -52,9 +53,9 @@
     Raises:
         RuntimeError: it has none; the caller should have checked.
     """
-    if request.note is None:
+    if request.reservation is None:
         raise RuntimeError("the request needs no reservation")
-    return request.note
+    return request.reservation
 
 
 class IdempotentRequests:
@@ -95,7 +96,7 @@
             return
         first = reservation_of(other)
         if first.fingerprint != reservation.fingerprint:
-            self.forwarder.own(request, UNPROCESSABLE, "the key stands for another request")
+            self.forwarder.answer(request, UNPROCESSABLE, "the key stands for another request")
             return
         reservation.first = other
         first.waiting.append(request)
@@ -114,7 +115,7 @@
     def _reject(self, request: SessionRequest, reason: str) -> None:
         self.counts["refused"] += 1
         self.finish_unanswered(request, KeyState.NOT_RUN)
-        self.forwarder.give_back(request, reason)
+        self.forwarder.reject(request, reason)
 
     def _decide(self, request: SessionRequest, lease: SessionLease, until_ms: float) -> None:
         """Goes on by what the record says of the request's key."""
@@ -131,7 +132,7 @@
             self._reserve(request, lease, sequence, until_ms)
         elif known.fingerprint != reservation.fingerprint:
             self.finish_unanswered(request, None)
-            self.forwarder.own(request, UNPROCESSABLE, "the key stands for another request")
+            self.forwarder.answer(request, UNPROCESSABLE, "the key stands for another request")
         elif known.state == KeyState.ANSWERED:
             self.counts["repeats"] += 1
             self.finish_unanswered(request, None)
@@ -148,7 +149,7 @@
             self._record(request, known.attempt, KeyState.UNKNOWN, known.reserved_by)
             known.state = KeyState.UNKNOWN
         self.finish_unanswered(request, None)
-        self.forwarder.own(
+        self.forwarder.answer(
             request,
             GATEWAY_TIMEOUT,
             "whether this key has run is not known; it will not run again",
@@ -159,7 +160,7 @@
         if answer.complete:
             self.forwarder.finish(request, answer.for_attempt(request.attempt_id))
         else:
-            self.forwarder.own(
+            self.forwarder.answer(
                 request, CONFLICT, "this key was answered before, with more than is kept"
             )
 
@@ -214,7 +215,7 @@
             self._decide(request, SessionLease(reservation.group, 0, record), 0.0)
         elif last_look_ms > request.deadline_ms:
             self.finish_unanswered(request, None)
-            self.forwarder.own(request, CONFLICT, "this key is at work at another site")
+            self.forwarder.answer(request, CONFLICT, "this key is at work at another site")
         else:
             self.context.call_later(look_ms, self._wait_for_other_site, request)
 
@@ -275,7 +276,7 @@
         if request.answer is not None:
             self.finish_unanswered(request, KeyState.NOT_RUN)
             return
-        request.held_ms = now_ms - request.start_ms
+        request.reservation_ms = now_ms - request.start_ms
         self.forwarder.offer(request)
 
     def _on_not_reserved(
@@ -314,8 +315,8 @@
     def settle(
         self,
         request: SessionRequest,
-        answer: ForwardedAnswer,
-        on_recorded: Callable[[ForwardedAnswer], object],
+        answer: Answer,
+        on_recorded: Callable[[Answer], object],
     ) -> None:
         """Records what a request came to.
 
@@ -323,8 +324,8 @@
         sites take the key for one at work.
 
         Args:
-            request: the request; its `ran` says that an endpoint may have begun it, its `whole`
-                that the answer is an endpoint's own.
+            request: the request; its `ran` says that an endpoint may have begun it, its
+                `from_endpoint` that the answer is an endpoint's own.
             answer: the answer.
             on_recorded: called once with the answer to send: an endpoint's own once it is recorded.
         """
@@ -335,7 +336,7 @@
             on_recorded(answer)
             return
         reservation.recording = True
-        if not request.whole:
+        if not request.from_endpoint:
             self._settle_own_answer(request, answer)
             on_recorded(answer)
             return
@@ -352,9 +353,9 @@
             request, KeyState.ANSWERED, list(StoredAnswer.of(answer)), until_ms, recorded
         )
 
-    def _settle_own_answer(self, request: SessionRequest, answer: ForwardedAnswer) -> None:
+    def _settle_own_answer(self, request: SessionRequest, answer: Answer) -> None:
         reservation = reservation_of(request)
-        may_have_run = request.ran or (answer[0] not in NOT_RUN_STATUSES and request.offered)
+        may_have_run = request.ran or (answer.status not in NOT_RUN_STATUSES and request.offered)
         state = KeyState.UNKNOWN if may_have_run else KeyState.NOT_RUN
         reservation.recorded = True
         if reservation.reserved:
@@ -367,7 +368,7 @@
         self,
         request: SessionRequest,
         state: KeyState | None,
-        answer: ForwardedAnswer | None = None,
+        answer: Answer | None = None,
     ) -> None:
         """Ends a request's part in the record without an answer to send: its client has gone, or
         the record has one.
--- a/stagevale/sessions/ports.py
+++ b/stagevale/sessions/ports.py
@@ -4,13 +4,11 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from stagevale.configuration.value import SessionGroup
+from stagevale.forwarding.answer import Answer
 
 if TYPE_CHECKING:
     from stagevale.sessions.key_reservation import KeyReservation
 
-# Status, reason, headers and body.
-ForwardedAnswer = tuple[Any, bytes, Any, bytes]
-
 
 class RouteAffinity(Protocol):
     """How a route's sessions are told apart.
@@ -30,7 +28,10 @@
     pure: bool
     target_ms: float
     homes: frozenset[str]
-    affinity: RouteAffinity
+
+    @property
+    def affinity(self) -> Any:
+        """A `RouteAffinity`."""
 
 
 class SessionRequest(Protocol):
@@ -38,13 +39,13 @@
 
     Attributes:
         session: the name of its session, or None.
-        note: the reservation of its key; None for requests that need none.
-        prefers: the id of the endpoint that its session keeps to, or None.
+        reservation: of its key; None for requests that need none.
+        preferred_id: the id of the endpoint that its session keeps to, or None.
         answer: its answer, once there is one.
         offered: it was sent to an endpoint, or is about to be.
         ran: an endpoint may have begun it.
-        whole: its answer is an endpoint's own.
-        held_ms: how long it waited for its key.
+        from_endpoint: its answer is an endpoint's own.
+        reservation_ms: how long it waited for its key.
     """
 
     method: bytes
@@ -53,38 +54,45 @@
     body: bytes
     attempt_id: bytes | None
     service: str
-    route: SessionRoute
     start_ms: float
     deadline_ms: float
     session: str | None
-    note: "KeyReservation | None"
-    prefers: str | None
+    reservation: "KeyReservation | None"
+    preferred_id: str | None
     answer: Any
     offered: bool
     ran: bool
-    whole: bool
-    held_ms: float
+    from_endpoint: bool
+    reservation_ms: float
+
+    @property
+    def route(self) -> SessionRoute:
+        """The route, which asks for affinity."""
 
 
 class SessionSnapshot(Protocol):
     """The part of a proxy's snapshot that sessions need."""
 
-    sessions: Mapping[str, SessionGroup]
+    @property
+    def sessions(self) -> Mapping[str, SessionGroup]:
+        """The session groups by name."""
 
 
 class SessionForwarder(Protocol):
-    """What sessions ask of the forwarder."""
+    """What sessions ask of the forwarder, whose own requests these are."""
 
-    snapshot: SessionSnapshot
+    @property
+    def snapshot(self) -> SessionSnapshot:
+        """The snapshot in force."""
 
-    def offer(self, request: SessionRequest) -> None:
+    def offer(self, request: Any) -> None:
         """Sends a request to an endpoint."""
 
-    def own(self, request: SessionRequest, status: int, why: str) -> None:
+    def answer(self, request: Any, status: int, reason: str) -> None:
         """Answers a request with a status of the proxy's own."""
 
-    def give_back(self, request: SessionRequest, why: str) -> None:
+    def reject(self, request: Any, reason: str) -> None:
         """Rejects a request that no endpoint has run."""
 
-    def finish(self, request: SessionRequest, answer: ForwardedAnswer) -> None:
+    def finish(self, request: Any, answer: Answer) -> None:
         """Answers a request."""
--- a/stagevale/sessions/proxy_sessions.py
+++ b/stagevale/sessions/proxy_sessions.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable
 
+from stagevale.forwarding.answer import Answer
 from stagevale.membership.membership import Membership
 from stagevale.rpc.transport import RpcTransport
 from stagevale.runtime.context import Context
@@ -10,7 +11,7 @@
 from stagevale.sessions.groups import group_name
 from stagevale.sessions.idempotency import IdempotentRequests
 from stagevale.sessions.key_reservation import KeyReservation
-from stagevale.sessions.ports import ForwardedAnswer, SessionForwarder, SessionRequest
+from stagevale.sessions.ports import SessionForwarder, SessionRequest
 from stagevale.sessions.records import KeyState
 from stagevale.sessions.session_headers import (
     SessionHeaderError,
@@ -62,11 +63,11 @@
         session = request.session = headers.session.decode("latin-1")
         group = group_name(route.homes, headers.session)
         if route.pure:
-            request.prefers = self.affinity.endpoint_of(session, request.service)
-            if request.prefers is None:
+            request.preferred_id = self.affinity.endpoint_of(session, request.service)
+            if request.preferred_id is None:
                 self.affinity.read_once(session, group)
         elif headers.key and self.reserves_keys:
-            request.note = KeyReservation(
+            request.reservation = KeyReservation(
                 session,
                 headers.key.decode("latin-1"),
                 fingerprint_of(request.method, request.target, request.body),
@@ -84,20 +85,20 @@
 
     def is_live(self, request: SessionRequest) -> bool:
         """True for the request that is at work here under its key."""
-        note = request.note
-        return note is not None and self.requests.live.get(note.id) is request
+        reservation = request.reservation
+        return reservation is not None and self.requests.live.get(reservation.id) is request
 
     def settle(
         self,
         request: SessionRequest,
-        answer: ForwardedAnswer,
-        on_recorded: Callable[[ForwardedAnswer], object],
+        answer: Answer,
+        on_recorded: Callable[[Answer], object],
     ) -> None:
         """Records what a request came to; see `IdempotentRequests.settle`."""
         self.requests.settle(request, answer, on_recorded)
 
     def finish_unanswered(
-        self, request: SessionRequest, state: KeyState, answer: ForwardedAnswer | None = None
+        self, request: SessionRequest, state: KeyState, answer: Answer | None = None
     ) -> None:
         """Records the end of a request whose client has gone."""
         self.requests.finish_unanswered(request, state, answer)
--- a/stagevale/sessions/stored_answer.py
+++ b/stagevale/sessions/stored_answer.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-from stagevale.sessions.ports import ForwardedAnswer
+from stagevale.forwarding.answer import Answer
 
 MOST_BODY_BYTES = 64 * 1024
 ATTEMPT_HEADER = b"attempt-id"
@@ -22,7 +22,7 @@
     complete: int
 
     @classmethod
-    def of(cls, answer: ForwardedAnswer) -> "StoredAnswer":
+    def of(cls, answer: Answer) -> "StoredAnswer":
         """The answer to keep of one that was forwarded."""
         status, reason, headers, body = answer
         complete = len(body) <= MOST_BODY_BYTES
@@ -33,9 +33,9 @@
         ]
         return cls(status, bytes(reason), kept, body if complete else b"", int(complete))
 
-    def for_attempt(self, attempt_id: bytes | None) -> ForwardedAnswer:
+    def for_attempt(self, attempt_id: bytes | None) -> Answer:
         """The answer under another request's id."""
         headers = [(bytes(name), bytes(value)) for name, value in self.headers]
         if attempt_id:
             headers.append((b"Attempt-Id", attempt_id))
-        return self.status, bytes(self.reason), headers, bytes(self.body)
+        return Answer(self.status, bytes(self.reason), headers, bytes(self.body))
--- a/tests/support/endpoints.py
+++ b/tests/support/endpoints.py
@@ -6,6 +6,7 @@
 from stagevale.api.heartbeat_body import read_heartbeat
 from stagevale.api.router import Call
 from stagevale.api.status_page import status_page
+from stagevale.balancing.snapshot import ProxyMember
 from stagevale.configuration.value import ConfigurationValue
 from stagevale.daemons.proxy import Proxy
 from stagevale.discovery.instance import Instance, InstanceState
@@ -184,7 +185,7 @@
         self.proxy.forwarder.snapshot = self.proxy.forwarder.snapshot.with_value(value)
         self.proxy.instances_received = True
         self.proxy.forwarder.snapshot = self.proxy.forwarder.snapshot.with_proxies(
-            (("10.0.1.1:7200", "a1", "a"),)
+            (ProxyMember("10.0.1.1:7200", "a1", "a"),)
         )
 
     def endpoint(self, rule=good, zone="a1", service="s"):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -108,7 +108,7 @@
             lambda: self.holder() is not None and self.fleet.formed(12 + proxies), 20000
         )
         assert self.world.until(
-            lambda: all(proxy.forwarder.counts.offset_ms for proxy in self.fleet.proxies.values()),
+            lambda: all(proxy.forwarder.usage.offset_ms for proxy in self.fleet.proxies.values()),
             9000,
         )
         self.world.later(self.to_mid_step_ms(), self.requests)
@@ -127,7 +127,7 @@
         for proxy in self.fleet.proxies.values():
             if proxy.context.alive:
                 for tenant in ("co-op", "trust"):
-                    proxy.forwarder.counts.count(tenant, self.world.env.now)
+                    proxy.forwarder.usage.count(tenant, self.world.env.now)
                     window = int((1.7e12 + self.world.env.now) // 5000)
                     counts = self.truth.setdefault(window, {})
                     counts[tenant] = counts.get(tenant, 0) + 1
@@ -468,5 +468,5 @@
         registry.singleton is None and registry.service.usage is None
         for registry in fleet.registries.values()
     )
-    assert all(proxy.forwarder.counts is None for proxy in fleet.proxies.values())
+    assert all(proxy.forwarder.usage is None for proxy in fleet.proxies.values())
     assert not [name for name in fleet.world.disks if name.startswith("duties")]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -287,7 +287,7 @@
     endpoint = scene.endpoint(good)
     client = scene.client(request("/e/x", "1", "POST", b"long"))
     scene.world.run(10)
-    connection = scene.proxy.forwarder.connections.copy().pop().requests[0].carriers[0]
+    connection = scene.proxy.forwarder.connections.copy().pop().requests[0].connections[0]
     connection.transport.unsent_bytes = 3000
     scene.world.run(300)
     client.transport.write(request("/e/x", "2", "POST", b"b"))
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -5,7 +5,7 @@
 import pytest
 from support.endpoints import Scene, request
 
-from stagevale.balancing.policies import FAILURES_BORNE, Policy, PolicyFailure, load_policy
+from stagevale.balancing.policies import FAILURES_BORNE, Policy, PolicyError, load_policy
 
 
 class Quiet:
@@ -82,7 +82,7 @@
 def test_a_policy_that_can_not_be_loaded_says_why(source, word, tmp_path):
     path = tmp_path / "policy.lua"
     path.write_text(source)
-    with pytest.raises(PolicyFailure, match=word) as caught:
+    with pytest.raises(PolicyError, match=word) as caught:
         load_policy(str(path), Quiet())
     assert str(path) in str(caught.value)
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -10,8 +10,9 @@
 
 from stagevale.commands import app
 from stagevale.doctoring import stand_faults
+from stagevale.latency_routing.histogram import Histogram
+from stagevale.latency_routing.router import MARGIN, LatencyQuery, LatencyRouter
 from stagevale.settings.settings import Bounds
-from stagevale.steering import MARGIN, Histogram, Steering
 
 ON = "[steering]\non = true\n"
 
@@ -26,7 +27,7 @@
         self.sent, self.number, self.gap_ms, self.runs = [], 0, gap_ms, []
         for zone in ("a1", "b1") * each:
             self.scene.endpoint(self.answer, zone)
-        self.steering = self.scene.proxy.forwarder.chooser.steering
+        self.steering = self.scene.proxy.forwarder.chooser.latency_router
         self.shares = []
         self.flow()
 
@@ -144,11 +145,11 @@
 def test_many_edges_that_see_the_same_do_not_go_at_once():
     shares = []
     for number in range(50):
-        steering = Steering(Bounds({}), "a", random.Random(number), {"b": 30.0})
+        steering = LatencyRouter(Bounds({}), "a", random.Random(number), {"b": 30.0})
         for _ in range(20):
-            steering.answered("s", "a", 100.0, 300.0, 100.0, 1000.0)
-            steering.answered("s", "b", 100.0, 130.0, 130.0, 1000.0)
-        steering.choose("s", {"a", "b"}, 100.0, 400.0, 1.0, False, 1000.0, 50.0)
+            steering.add_answer("s", "a", 100.0, 300.0, 100.0, 1000.0)
+            steering.add_answer("s", "b", 100.0, 130.0, 130.0, 1000.0)
+        steering.choose(LatencyQuery("s", 100.0, 400.0, 1.0, False, 50.0), {"a", "b"}, 1000.0)
         shares.append(steering.shares["s"].get("b", 0.0))
     assert 0.0 < sum(shares) / 50 < 0.15
     assert len({round(share, 3) for share in shares}) > 20
@@ -156,9 +157,9 @@
 
 
 def test_evidence_that_grows_old_fades_to_neutral():
-    steering = Steering(Bounds({}), "a", random.Random(1), {"b": 30.0})
+    steering = LatencyRouter(Bounds({}), "a", random.Random(1), {"b": 30.0})
     for _ in range(20):
-        steering.answered("s", "a", 100.0, 500.0, 100.0, 0.0)
+        steering.add_answer("s", "a", 100.0, 500.0, 100.0, 0.0)
     assert steering.expected_ms("s", "a", 100.0, 0.0, 50.0) > 450.0
     assert steering.expected_ms("s", "a", 100.0, 40000.0, 50.0) == 100.0
     assert steering.expected_ms("s", "b", 100.0, 0.0, 50.0) == 130.0
@@ -218,4 +219,4 @@
 
 def test_without_the_setting_nothing_is_kept():
     scene = Scene()
-    assert scene.proxy.forwarder.chooser.steering is None
+    assert scene.proxy.forwarder.chooser.latency_router is None
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -133,7 +133,7 @@
     day.world.run(30)
     day.change(tenants=[TENANTS[1]])
     day.endpoint()
-    day.proxy.forwarder.pump_all()
+    day.proxy.forwarder.offer_queued()
     day.world.run(300)
     assert client.statuses() == ["401"]
     assert not day.endpoints[1].ran
@@ -248,7 +248,7 @@
         more={"tenants": TENANTS},
         settings='[platform]\naddress = "10.8.0.1:80"\nduties = ["usage_report"]\n',
     )
-    counts = day.proxy.forwarder.counts
+    counts = day.proxy.forwarder.usage
     counts.set_agreed_time(1.7e12, day.world.env.now)
     day.world.run(9000)
     turned = []
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -445,11 +445,11 @@
 class Choice:
     """As much of a request as a choice looks at."""
 
-    __slots__ = ("route", "service", "start_ms", "tried", "homes", "prefers", "expected_ms")
+    __slots__ = ("route", "service", "start_ms", "tried", "homes", "preferred_id", "expected_ms")
 
     def __init__(self, route, service):
         self.route, self.service = route, service
-        self.start_ms, self.tried, self.homes, self.prefers, self.expected_ms = (
+        self.start_ms, self.tried, self.homes, self.preferred_id, self.expected_ms = (
             0.0,
             (),
             (),
@@ -472,8 +472,7 @@
             listen='front = "10.1.0.1:9000"',
         )
     )
-    chooser = Chooser(SimContext(world, settings, "p"), "10.1.0.1:7200")
-    chooser.lease = Lease(settings.bounds)
+    chooser = Chooser(SimContext(world, settings, "p"), "10.1.0.1:7200", Lease(settings.bounds))
     snapshot = empty_snapshot().with_value(
         ConfigurationValue(1, 1, json.dumps(configuration_of(1, 0, 1)), (), ())
     )
