--- a/stagevale/configuration/node.py
+++ b/stagevale/configuration/node.py
@@ -10,6 +10,7 @@
     FindHandler,
     Outcome,
 )
+from stagevale.configuration.messages import CommittedValue
 from stagevale.configuration.outstanding_leases import OutstandingLeases
 from stagevale.configuration.value import ConfigurationValue, read_configuration_value
 from stagevale.consensus.commands import READ_VALUE, Command, CommandReply, succeeded
@@ -178,7 +179,9 @@
         for members in regions.values():
             members.sort(key=lambda member: member.machine != own_machine)
             first, *rest = [member.address for member in members]
-            self.rpc.send(first, MessageKind.COMMITTED_VALUE, [value.encoded, rest])
+            message = CommittedValue(value.encoded, tuple(rest))
+            self.rpc.send(first, MessageKind.COMMITTED_VALUE, message)
         for address in self.acceptor.vote.peers:
             if address not in self.membership.state.members:
-                self.rpc.send(address, MessageKind.COMMITTED_VALUE, [value.encoded, []])
+                message = CommittedValue(value.encoded, ())
+                self.rpc.send(address, MessageKind.COMMITTED_VALUE, message)
--- a/stagevale/discovery/configuration_client.py
+++ b/stagevale/discovery/configuration_client.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
+from stagevale.configuration.messages import CommittedValue
 from stagevale.configuration.value import ConfigurationValue, read_configuration_value
 from stagevale.consensus.command_queue import COMMAND_BYTES_PER_MS
 from stagevale.consensus.commands import CommandReply, CommandRequest, ReadValueRequest
 from stagevale.consensus.messages import LeaderHeartbeat
-from stagevale.discovery.messages import CommittedValue
 from stagevale.partners.table import NO_PARTNERS, table_of
 from stagevale.rpc.errors import RequestError
 from stagevale.rpc.kinds import MessageKind
--- a/stagevale/discovery/messages.py
+++ b/stagevale/discovery/messages.py
@@ -74,13 +74,6 @@
     ballot: Ballot
 
 
-class CommittedValue(NamedTuple):
-    """The newest configuration value, and to whom the receiver is to pass it on."""
-
-    encoded: bytes
-    pass_on_to: tuple[str, ...]
-
-
 class SubscribeMessage(NamedTuple):
     """A proxy subscribes, or renews its subscription.
 
--- a/tests/compatibility/driver.py
+++ b/tests/compatibility/driver.py
@@ -9,6 +9,7 @@
 from support.fleet import Fleet
 from support.network import SimTransport
 
+from stagevale.configuration import messages as configuration
 from stagevale.configuration.value import (
     ConfigurationValue,
     SessionGroup,
@@ -54,7 +55,7 @@
     **CONSENSUS_MESSAGES,
     **{kind + SINGLETON_KIND_OFFSET: message for kind, message in CONSENSUS_MESSAGES.items()},
     MessageKind.COMMAND: CommandRequest,
-    MessageKind.COMMITTED_VALUE: discovery.CommittedValue,
+    MessageKind.COMMITTED_VALUE: configuration.CommittedValue,
     MessageKind.INSTANCES: discovery.InstancesMessage,
     MessageKind.REGISTRY_PING: discovery.RegistryPing,
     MessageKind.SHARD_CAMPAIGN: discovery.ShardCampaign,
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -419,6 +419,50 @@
         assert got[name] > least, (name, got)
 
 
+@pytest.mark.parametrize(
+    "lost, is_answered",
+    [
+        pytest.param((), True, id="no disk"),
+        pytest.param((1, 4), True, id="one member of each group"),
+        pytest.param((0, 1), False, id="two members of each group"),
+    ],
+)
+def test_disks_lost_while_all_others_lose_power_let_no_key_run_again(lost, is_answered):
+    """The closing event of a day. A key whose answer a client has got is never run again, nor one
+    that was under way; where a majority of each group keeps its disk it is answered again.
+    """
+    day = Crossing(seed=40 + len(lost) + sum(lost))
+    answered = [f"answered{number}" for number in range(6)]
+    clients = [day.send(site, key, session=key) for site, key in enumerate(answered)]
+    assert [day.answer(client) for client in clients] == ["200"] * 6
+    day.work_ms = 900
+    under_way = [f"running{number}" for number in range(6)]
+    for site, key in enumerate(under_way):
+        day.send(site, key, session=key)
+    assert day.world.until(lambda: all(day.ran(key) for key in under_way), 2000, 5)
+
+    for number in range(6):
+        day.fleet.kill_core(number)
+        day.world.kill(day.fleet.proxies[number].context)
+    for number in lost:
+        day.fleet.wipe(number)
+    day.world.run(800)
+    for number in range(6):
+        day.fleet.start_core(number, False)
+        day.fleet.start_proxy(number)
+    day.world.run(15000)
+
+    statuses = {}
+    for site, key in enumerate(answered + under_way):
+        client = day.send((site + 1) % 6, key, session=key)
+        statuses[key] = day.answer(client) if client is not None else None
+    for key in answered + under_way:
+        assert day.ran(key) == 1, (key, statuses)
+    if is_answered:
+        assert [statuses[key] for key in answered] == ["200"] * 6, statuses
+        assert [statuses[key] for key in under_way] == ["504"] * 6, statuses
+
+
 def test_without_noting_the_same_crossings_run_keys_twice():
     got = crossings(kill_proxy, 21, noting=False)
     assert got["doubles"] > 10, got
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -340,6 +340,40 @@
     days.platform.check()
 
 
+@pytest.mark.parametrize("step", STEPS)
+def test_disks_lost_while_all_others_lose_power_leave_fence_and_windows(step):
+    """The closing event of a day: the holder's disk and another voter's are lost, and every other
+    machine loses power at the same moment.
+    """
+    days = Days(seed=30 + list(STEPS).index(step))
+    days.world.run(9000)
+    assert days.world.until(lambda: days.holder() is not None and STEPS[step](days), 12000, 1)
+    holder = days.holder()
+    committed = days.duty().committed
+    voters = [int(address.split(":")[0].split(".")[-1]) - 1 for address in committed.group]
+    lost = [holder, next(number for number in voters if number != holder)]
+
+    for number in range(6):
+        days.fleet.kill_core(number)
+    for number in list(days.fleet.proxies):
+        days.world.kill(days.fleet.proxies[number].context)
+    for number in lost:
+        days.fleet.wipe(number)
+    days.world.run(800)
+    for number in range(6):
+        days.fleet.start_core(number, False)
+    for number in list(days.fleet.proxies):
+        days.fleet.start_proxy(number)
+
+    assert days.world.until(lambda: days.holder() is not None, 25000)
+    assert days.duty().committed.fencing_token > committed.fencing_token
+    assert days.duty().committed.last_window >= committed.last_window
+    days.world.run(20000)
+    days.platform.check()
+    windows = [json.loads(call["body"])["windowNo"] for call in days.platform.taken()]
+    assert max(windows) >= days.window() - 3, "reports go on after the restart"
+
+
 def test_core_without_majority_does_nothing_at_the_platform():
     days = Days(seed=9)
     days.world.run(9000)
