--- a/stagevale/__main__.py
+++ b/stagevale/__main__.py
@@ -12,7 +12,7 @@
     words = sys.argv[1:]
     if len(words) == 1 and words[0] in DAEMONS:
         return launch(words[0])
-    from stagevale.commands import app
+    from stagevale.commands.app import app
 
     return app(words)
 
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -18,7 +18,7 @@
 import pytest
 from test_register import config
 
-from stagevale.commands import app
+from stagevale.commands.app import app
 
 ROOT = pathlib.Path(__file__).parent.parent
 SETTINGS = """
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -483,15 +483,15 @@
     assert stand["overdue"]
     assert stand["pending"]
     assert stand["sent"]
-    from stagevale.doctoring import stand_faults
+    from stagevale.diagnostics.system_check import status_findings
 
     whole = status_of(days.fleet.registries[days.holder()])
-    assert any("overdue" in finding.fault for finding in stand_faults("here", whole))
+    assert any("overdue" in finding.fault for finding in status_findings("here", whole))
     days.platform.open()
     days.world.run(8000)
     assert not any(
         "overdue" in finding.fault
-        for finding in stand_faults("here", status_of(days.fleet.registries[days.holder()]))
+        for finding in status_findings("here", status_of(days.fleet.registries[days.holder()]))
     )
 
 
--- a/tests/test_rehearsing.py
+++ b/tests/test_rehearsing.py
@@ -9,7 +9,10 @@
 from support.fleet import ZONES, Fleet
 from support.network import SimTransport
 
-from stagevale.rehearsing import Plan, RehearsalFailure, rehearse, report, shifted
+from stagevale.failover_simulation.errors import SimulationError
+from stagevale.failover_simulation.plan import Plan, flows_without
+from stagevale.failover_simulation.report import make_report
+from stagevale.failover_simulation.simulation import simulate
 from stagevale.settings.settings import Bounds
 
 ROUTES = [
@@ -153,7 +156,7 @@
     town.world.run(12000)
     arrivals = len(town.ran)
     plan = Plan(town.stands(), CONFIG, Bounds({}))
-    table = {row["route"]: row for row in report(plan, "a", 15, 1)["routes"]}
+    table = {row["route"]: row for row in make_report(plan, "a", 15, 1)["routes"]}
     assert len(town.ran) == arrivals, "the rehearsal must not touch real traffic"
     assert {row["kind"] for row in table.values()} == {"repeatable", "at most once"}
     town.lose("a")
@@ -227,13 +230,13 @@
 
 def test_lost_fronts_clients_go_where_the_directory_would_send_them():
     plan = Plan([stand()], CONFIG, Bounds({}))
-    moved = shifted(plan, "a")
+    moved = flows_without(plan, "a")
     assert list(moved) == ["10.0.1.1:7200"]
     assert sum(flow.per_s for flow in moved["10.0.1.1:7200"]) == pytest.approx(60.0)
-    calm = rehearse(plan, "", 10, 3)
+    calm = simulate(plan, "", 10, 3)
     assert calm["r-pure/p/"].zones.keys() == {"a1", "b1"}
-    assert calm["r-pure/p/"].in_aim > 100
-    assert rehearse(plan, "a", 10, 3)["r-pure/p/"].zones.keys() == {"b1"}
+    assert calm["r-pure/p/"].in_time > 100
+    assert simulate(plan, "a", 10, 3)["r-pure/p/"].zones.keys() == {"b1"}
 
 
 def test_too_little_left_is_shown_as_refused_or_late():
@@ -241,7 +244,7 @@
     for row in busy["proxies"]:
         row["report"][1][0][5] = {row["zone"]: 200}
     plan = Plan([busy], CONFIG, Bounds({}))
-    lost = report(plan, "a", 10, 1)
+    lost = make_report(plan, "a", 10, 1)
     row = next(row for row in lost["routes"] if row["route"] == "r-pure/p/")
     assert row["lost"]["inAim"] < row["calm"]["inAim"]
     assert row["lost"]["refused"] + row["lost"]["late"] > 0.2
@@ -249,19 +252,19 @@
 
 def test_the_same_seed_gives_the_same_table():
     plan = Plan([stand()], CONFIG, Bounds({}))
-    assert report(plan, "b", 5, 7) == report(plan, "b", 5, 7)
-    assert report(plan, "b", 5, 7) != report(plan, "b", 5, 8)
+    assert make_report(plan, "b", 5, 7) == make_report(plan, "b", 5, 7)
+    assert make_report(plan, "b", 5, 7) != make_report(plan, "b", 5, 8)
 
 
 def test_nothing_to_rehearse_is_said():
-    with pytest.raises(RehearsalFailure, match="no region x"):
-        report(Plan([stand()], CONFIG, Bounds({})), "x", 5, 1)
+    with pytest.raises(SimulationError, match="no region x"):
+        make_report(Plan([stand()], CONFIG, Bounds({})), "x", 5, 1)
     empty = stand()
     for row in empty["proxies"]:
         row["report"] = []
-    with pytest.raises(RehearsalFailure, match="reported"):
+    with pytest.raises(SimulationError, match="reported"):
         Plan([empty], CONFIG, Bounds({}))
     alone = stand()
     alone["proxies"] = alone["proxies"][:1]
-    with pytest.raises(RehearsalFailure, match="no front is left"):
-        report(Plan([alone], CONFIG, Bounds({})), "a", 5, 1)
+    with pytest.raises(SimulationError, match="no front is left"):
+        make_report(Plan([alone], CONFIG, Bounds({})), "a", 5, 1)
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -8,8 +8,9 @@
 from support.endpoints import Endpoint, Scene, client_at, good, request, route, status_of
 from support.fleet import Fleet
 
-from stagevale.commands import app
-from stagevale.doctoring import stand_faults
+from stagevale.commands.app import app
+from stagevale.diagnostics.api_client import ApiAnswer
+from stagevale.diagnostics.system_check import status_findings
 from stagevale.latency_routing.histogram import Histogram
 from stagevale.latency_routing.router import MARGIN, LatencyQuery, LatencyRouter
 from stagevale.settings.settings import Bounds
@@ -204,7 +205,8 @@
     assert rows[0]["service"] == "s"
     assert rows[0]["count"] > 20
     monkeypatch.setattr(
-        "stagevale.doctoring.ask", lambda address, _path, *_rest: (200, stands[int(address[-1])])
+        "stagevale.diagnostics.api_client.call_api",
+        lambda address, _path, *_rest: ApiAnswer(200, stands[int(address[-1])]),
     )
     controls = [word for number in range(6) for word in ("--control", f"127.0.0.1:800{number}")]
     assert app(["delays"] + controls) == 0
@@ -214,7 +216,7 @@
     stand = next(stand for stand in stands if any(proxy["delays"] for proxy in stand["proxies"]))
     row = next(proxy for proxy in stand["proxies"] if proxy["delays"])["delays"][0]
     row.update(count=100, expectedMs=20.0, gotMs=500.0)
-    assert any("callers got 500 ms" in finding.fault for finding in stand_faults("here", stand))
+    assert any("callers got 500 ms" in finding.fault for finding in status_findings("here", stand))
 
 
 def test_without_the_setting_nothing_is_kept():
