--- a/stagevale/api/partner_view.py
+++ b/stagevale/api/partner_view.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from stagevale.api.router import Answer, BadCallError
-from stagevale.configuration.command_handlers import CommandKind
+from stagevale.configuration.commands import CommandKind
 from stagevale.configuration.value import ConfigurationValue
 from stagevale.discovery.registry_service import RegistryService
 
--- a/stagevale/api/registry_api.py
+++ b/stagevale/api/registry_api.py
@@ -3,7 +3,6 @@
 import functools
 import http
 from collections.abc import Callable
-from typing import Any
 from urllib.parse import parse_qs
 
 from stagevale.api.heartbeat_body import read_heartbeat
@@ -15,6 +14,7 @@
     BadCallError,
     Call,
     CallError,
+    Names,
     NoSuchCallError,
     Resource,
     Router,
@@ -22,7 +22,7 @@
 )
 from stagevale.api.session_view import SessionView
 from stagevale.api.status_page import status_page
-from stagevale.configuration.command_handlers import CommandKind
+from stagevale.configuration.commands import CommandKind
 from stagevale.discovery.registry_service import RegistryService
 from stagevale.placement.fronts import MOST_FRONTS
 
@@ -37,8 +37,6 @@
 # Arguments of a command are separated by line ends, so no name may hold one.
 ARGUMENT_SEPARATOR = "\n"
 
-Names = tuple[str, ...]
-
 
 def answer_command(answer: Answer) -> Callable[[int, str], object]:
     """Answers a call with the outcome of the command that it was forwarded as."""
@@ -223,15 +221,3 @@
         raise CallError(
             http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE.value, f"{what} over {most_bytes} bytes"
         )
-
-
-def readiness_router(is_ready: Callable[[], bool]) -> Router:
-    """The router of a proxy's readiness port: 200 once it is ready to serve, else 503."""
-
-    def readiness(_call: Call, _names: Names, answer: Answer) -> None:
-        ready = is_ready()
-        status = OK if ready else http.HTTPStatus.SERVICE_UNAVAILABLE.value
-        body: dict[str, Any] = {"ready": ready}
-        answer(status, body)
-
-    return Router(VERSION_PREFIX, [Resource(("readiness",), {"GET": readiness})])
--- a/stagevale/api/rollout_view.py
+++ b/stagevale/api/rollout_view.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from stagevale.api.router import Answer
-from stagevale.configuration.command_handlers import CommandKind
+from stagevale.configuration.commands import CommandKind
 from stagevale.discovery.instance import InstanceState
 from stagevale.discovery.registry_service import RegistryService
 from stagevale.placement.shards import shard_of
--- a/stagevale/api/router.py
+++ b/stagevale/api/router.py
@@ -16,6 +16,8 @@
 
 # Called once with an HTTP status and a body: a table to be sent as JSON, or JSON itself.
 Answer = Callable[[int, Any], object]
+# What stood in a path in the places of wildcards.
+Names = tuple[str, ...]
 Dispatch = Callable[[Call, Answer], object]
 # A handler gets the segments in the places of the pattern's wildcards.
 Handler = Callable[[Call, tuple[str, ...], Answer], object]
--- a/stagevale/configuration/node.py
+++ b/stagevale/configuration/node.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from stagevale.configuration.command_handlers import (
+from stagevale.configuration.commands import (
     NOT_FOUND,
     OK,
     UNAVAILABLE,
--- a/stagevale/daemons/command_handlers.py
+++ b/stagevale/daemons/command_handlers.py
@@ -1,7 +1,7 @@
 """Which package handles which command to the configuration's register."""
 
 from stagevale.configuration import command_handlers as configuration
-from stagevale.configuration.command_handlers import CommandHandler, CommandKind
+from stagevale.configuration.commands import CommandHandler, CommandKind
 
 OFFER_KINDS = (CommandKind.OFFER, CommandKind.WITHDRAW_OFFER, CommandKind.READ_OFFER)
 ROLLOUT_KINDS = (CommandKind.START_ROLLOUT, CommandKind.MOVE_ROLLOUT)
--- a/stagevale/daemons/proxy.py
+++ b/stagevale/daemons/proxy.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from stagevale.api.http_connection import HttpConnection
-from stagevale.api.registry_api import readiness_router
+from stagevale.api.readiness import readiness_router
 from stagevale.balancing.snapshot import ProxyMember
 from stagevale.configuration.value import read_configuration_value
 from stagevale.daemons.daemon import Daemon
--- a/stagevale/discovery/lease_relay.py
+++ b/stagevale/discovery/lease_relay.py
@@ -3,7 +3,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from stagevale.configuration.command_handlers import CommandKind
+from stagevale.configuration.commands import CommandKind
 from stagevale.consensus.commands import CommandReply, CommandRequest
 from stagevale.discovery.configuration_client import OK
 from stagevale.discovery.messages import LeaseGrant, LeaseRequest
--- a/stagevale/partners/command_handlers.py
+++ b/stagevale/partners/command_handlers.py
@@ -2,7 +2,7 @@
 
 import json
 
-from stagevale.configuration.command_handlers import (
+from stagevale.configuration.commands import (
     BAD_REQUEST,
     NOT_FOUND,
     OK,
--- a/stagevale/rollouts/command_handlers.py
+++ b/stagevale/rollouts/command_handlers.py
@@ -3,7 +3,7 @@
 import json
 from typing import NamedTuple
 
-from stagevale.configuration.command_handlers import (
+from stagevale.configuration.commands import (
     BAD_REQUEST,
     CONFLICT,
     NOT_FOUND,
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -10,7 +10,7 @@
 from support.endpoints import Endpoint, Scene, api_call, client_at, good, request
 from support.fleet import Fleet
 
-from stagevale.configuration.command_handlers import CommandKind
+from stagevale.configuration.commands import CommandKind
 from stagevale.configuration.node import ConfigurationNode
 from stagevale.configuration.value import ConfigurationValue, read_configuration_value
 from stagevale.consensus.commands import CommandRequest
