--- a/stagevale/membership/failure_detector.py
+++ b/stagevale/membership/failure_detector.py
@@ -20,6 +20,7 @@
     """Keeps a heartbeat history for each member.
 
     Attributes:
+        histories: by address; gossip records heartbeats in them.
         unreachable: addresses of the members that are suspected.
     """
 
@@ -34,12 +35,6 @@
         """Begins a history for a member whose first heartbeat has arrived."""
         self.histories[member.address] = HeartbeatHistory(now_ms, self._expected_ms(member))
 
-    def record_heartbeat(self, address: str, now_ms: float) -> None:
-        """A member's heartbeat has advanced."""
-        history = self.histories.get(address)
-        if history is not None:
-            history.record_heartbeat(now_ms)
-
     def forget(self, address: str) -> None:
         """Drops a member's history: another incarnation has its address now."""
         self.histories.pop(address, None)
--- a/stagevale/membership/gossip.py
+++ b/stagevale/membership/gossip.py
@@ -234,6 +234,7 @@
         now_ms = self.context.now_ms()
         peers, own_address = self.peers, self.membership.me.address
         detector = self.membership.failure_detector
+        histories = detector.histories
         for member, heartbeat, checksum in overview.read_rows(self, message, checksums):
             address = member.address
             view = peers.get(address)
@@ -241,7 +242,9 @@
                 advance = (heartbeat - view.heartbeat) & HEARTBEAT_MASK
                 if not 0 < advance < HEARTBEAT_HALF_RANGE:
                     continue
-                detector.record_heartbeat(address, now_ms)
+                history = histories.get(address)
+                if history is not None:
+                    history.record_heartbeat(now_ms)
             elif address == own_address:
                 continue
             else:
--- a/stagevale/membership/gossip_targets.py
+++ b/stagevale/membership/gossip_targets.py
@@ -28,8 +28,9 @@
     """
     me, random = membership.me, membership.context.random
     others = membership.others()
-    live = [member for member in others if membership.is_reachable(member.address)]
-    unreachable = [member for member in others if not membership.is_reachable(member.address)]
+    suspected = membership.failure_detector.unreachable
+    live = [member for member in others if member.address not in suspected]
+    unreachable = [member for member in others if member.address in suspected]
     if not live:
         targets = set()
     elif not me.is_core and random.random() > _far_share(live):
--- a/stagevale/membership/overview.py
+++ b/stagevale/membership/overview.py
@@ -54,14 +54,15 @@
         with_clock: whether this daemon's clock is to go along.
     """
     membership = gossip.membership
+    own_address, peers = membership.me.address, gossip.peers
     own_checksum = membership.state.checksum
     counted = membership.state.counted_members()
     keys: list[int] = []
     heartbeats: list[int] = []
     seen: list[int] = []
     for member in counted:
-        view = gossip.peers.get(member.address)
-        if member.address == membership.me.address:
+        view = peers.get(member.address)
+        if member.address == own_address:
             view = PeerView(membership.me.uid, gossip.heartbeat, own_checksum)
         if view is not None and view.uid == member.uid:
             keys.append(member.key)
