--- a/stagevale/consensus/__init__.py
+++ b/stagevale/consensus/__init__.py
@@ -7,5 +7,5 @@
 
 Begin with `node.ConsensusNode`, which wires the parts together: `acceptor` (what a voter promises
 and accepts), `election`, `replication` (a leader's proposals), `reconfiguration` (changes of the
-group), `commands` (requests on their way to the leader), `vote_storage` (what is on disk).
+group), `command_queue` (commands on their way to the leader), `vote_storage` (what is on disk).
 """
