--- a/stagevale/sessions/idempotency.py
+++ b/stagevale/sessions/idempotency.py
@@ -4,20 +4,15 @@
 
 import http
 from collections.abc import Callable
-from typing import Any
 
 from stagevale.forwarding.answer import Answer
-from stagevale.membership.member import MemberState
 from stagevale.rpc.kinds import MessageKind
 from stagevale.sessions.endpoint_affinity import EndpointAffinity
 from stagevale.sessions.group_client import GroupClient, GroupReplies
-from stagevale.sessions.key_reservation import KeyReservation
-from stagevale.sessions.messages import (
-    ReadSessionRequest,
-    RecordOutcomeRequest,
-    ReplyCode,
-    ReserveKeyRequest,
-)
+from stagevale.sessions.key_lookup import KeyLookup
+from stagevale.sessions.key_reservation import reservation_of
+from stagevale.sessions.messages import ReplyCode, ReserveKeyRequest
+from stagevale.sessions.outcome_recorder import OutcomeRecorder
 from stagevale.sessions.ports import SessionForwarder, SessionRequest
 from stagevale.sessions.records import AttemptId, KeyRecord, KeyState, SessionRecord
 from stagevale.sessions.session_leases import SessionLease, SessionLeases
@@ -28,10 +23,7 @@
 PATIENCE_SHARE = 0.5
 # How often a key that is at work elsewhere is looked at, as a share of `contactMs`.
 LOOK_SHARE = 0.025
-# In replica time-outs: how long recording an outcome goes on, the pause between attempts, and what
-# a last look has to leave of the request's time.
-RECORD_TIMEOUTS = 10
-RECORD_RETRY_TIMEOUTS = 0.1
+# What a last look has to leave of the request's time, in replica time-outs.
 LAST_LOOK_TIMEOUTS = 0.3
 # Answers of the proxy's own that say that no endpoint has run the request.
 NOT_RUN_STATUSES = (401, 404, 408, 429, 503)
@@ -47,26 +39,27 @@
 )
 
 
-def reservation_of(request: SessionRequest) -> KeyReservation:
-    """The reservation of a request that has one.
-
-    Raises:
-        RuntimeError: it has none; the caller should have checked.
-    """
-    if request.reservation is None:
-        raise RuntimeError("the request needs no reservation")
-    return request.reservation
-
-
 class IdempotentRequests:
     """All at-most-once requests of one proxy.
 
     Attributes:
+        recorder: tells the group outcomes.
+        lookup: reads what the group knows.
         live: the request at work here under each session and key.
         counts: for the tools.
     """
 
-    __slots__ = ("client", "context", "forwarder", "affinity", "leases", "counts", "live")
+    __slots__ = (
+        "client",
+        "context",
+        "forwarder",
+        "affinity",
+        "leases",
+        "counts",
+        "live",
+        "recorder",
+        "lookup",
+    )
 
     def __init__(
         self,
@@ -83,6 +76,8 @@
         self.leases = leases
         self.counts = counts
         self.live: dict[tuple[str, str], SessionRequest] = {}
+        self.recorder = OutcomeRecorder(client, affinity, leases)
+        self.lookup = KeyLookup(client)
 
     # before the request is sent
 
@@ -137,7 +132,7 @@
             self.counts["repeats"] += 1
             self.finish_unanswered(request, None)
             self._answer_again(request, known)
-        elif known.state == KeyState.UNKNOWN or not self._is_at_work(known.reserved_by):
+        elif known.state == KeyState.UNKNOWN or not self.lookup.is_at_work(known.reserved_by):
             self._answer_unknown(request, known)
         else:
             self._wait_for_other_site(request)
@@ -146,7 +141,7 @@
         """Nobody knows whether the key has run: it never runs again."""
         self.counts["unknown"] += 1
         if known.state != KeyState.UNKNOWN:
-            self._record(request, known.attempt, KeyState.UNKNOWN, known.reserved_by)
+            self.recorder.record(request, known.attempt, KeyState.UNKNOWN, known.reserved_by)
             known.state = KeyState.UNKNOWN
         self.finish_unanswered(request, None)
         self.forwarder.answer(
@@ -164,54 +159,27 @@
                 request, CONFLICT, "this key was answered before, with more than is kept"
             )
 
-    def _is_at_work(self, proxy_id: str) -> bool:
-        """True while the proxy that reserved a key may still be working on it."""
-        address, _, uid = proxy_id.partition("#")
-        if proxy_id == self.client.own_id():
-            return False
-        membership = self.client.membership
-        member = membership.state.members.get(address)
-        return (
-            member is not None
-            and str(member.uid) == uid
-            and member.state < MemberState.DOWN
-            and membership.is_reachable(address)
-        )
-
     # another site is at work on the key
 
     def _wait_for_other_site(self, request: SessionRequest) -> None:
         """Looks again and again, until the request's deadline."""
-        reservation = reservation_of(request)
-        self.client.request_all(
-            reservation.group,
-            MessageKind.SESSION_READ,
-            lambda version: ReadSessionRequest(reservation.group, version, reservation.session),
-            lambda replies: self._on_look(request, replies),
-        )
+        self.lookup.read(request, lambda record: self._on_look(request, record))
 
-    def _on_look(self, request: SessionRequest, replies: GroupReplies) -> None:
+    def _on_look(self, request: SessionRequest, record: SessionRecord) -> None:
         reservation = reservation_of(request)
         if request.answer is not None:
             self.finish_unanswered(request, None)
             return
-        now_ms = self.context.now_ms()
-        record = SessionRecord()
-        for reply in replies.with_code(ReplyCode.DONE):
-            if reply.content is not None:
-                record.merge(SessionRecord.from_fields(reply.content, now_ms))
         lease = self.leases.held.get(reservation.session)
         if lease is not None:
             lease.record.merge(record)
         known = record.keys.get(reservation.key)
         look_ms = self.context.settings.bounds.contact_ms * LOOK_SHARE
-        last_look_ms = now_ms + look_ms + self.client.timeout_ms() * LAST_LOOK_TIMEOUTS
+        least_left_ms = look_ms + self.client.timeout_ms() * LAST_LOOK_TIMEOUTS
+        last_look_ms = self.context.now_ms() + least_left_ms
         if known is not None and known.state == KeyState.NOT_RUN:
             self._acquire_lease(request)
-        elif known is not None and (
-            known.state in (KeyState.ANSWERED, KeyState.UNKNOWN)
-            or not self._is_at_work(known.reserved_by)
-        ):
+        elif known is not None and not self._is_open(known):
             self._decide(request, SessionLease(reservation.group, 0, record), 0.0)
         elif last_look_ms > request.deadline_ms:
             self.finish_unanswered(request, None)
@@ -219,6 +187,12 @@
         else:
             self.context.call_later(look_ms, self._wait_for_other_site, request)
 
+    def _is_open(self, known: KeyRecord) -> bool:
+        """True for a key whose outcome may still come."""
+        if known.state in (KeyState.ANSWERED, KeyState.UNKNOWN):
+            return False
+        return self.lookup.is_at_work(known.reserved_by)
+
     # reserving
 
     def _reserve(
@@ -298,7 +272,7 @@
         ]
         if reservation.attempt is not None:
             own_id = self.client.own_id()
-            self._record(request, reservation.attempt, KeyState.NOT_RUN, own_id)
+            self.recorder.record(request, reservation.attempt, KeyState.NOT_RUN, own_id)
         if known:
             for record in known:
                 lease.record.merge_key(reservation.key, record)
@@ -349,7 +323,7 @@
             on_recorded(answer if agreed else NOT_RECORDED)
 
         until_ms = request.deadline_ms - self.client.timeout_ms()
-        self._record_until(
+        self.recorder.record_until(
             request, KeyState.ANSWERED, list(StoredAnswer.of(answer)), until_ms, recorded
         )
 
@@ -359,7 +333,7 @@
         state = KeyState.UNKNOWN if may_have_run else KeyState.NOT_RUN
         reservation.recorded = True
         if reservation.reserved:
-            self._record_until(request, state, None, self._record_until_ms(), lambda _agreed: None)
+            self.recorder.record_until(request, state, None, self.recorder.patience_end_ms())
         if state == KeyState.UNKNOWN:
             self.counts["unknown"] += 1
         self._forget(request)
@@ -386,8 +360,12 @@
             self._forget(request)
             return
         stored = list(StoredAnswer.of(answer)) if answer is not None else None
-        self._record_until(
-            request, state, stored, self._record_until_ms(), lambda _agreed: self._forget(request)
+        self.recorder.record_until(
+            request,
+            state,
+            stored,
+            self.recorder.patience_end_ms(),
+            lambda _agreed: self._forget(request),
         )
 
     def _forget(self, request: SessionRequest) -> None:
@@ -400,73 +378,3 @@
             if other.answer is None:
                 reservation_of(other).first = None
                 self.start(other)
-
-    # recording
-
-    def _record_until_ms(self) -> float:
-        return self.context.now_ms() + self.client.timeout_ms() * RECORD_TIMEOUTS
-
-    def _record_until(
-        self,
-        request: SessionRequest,
-        state: KeyState,
-        stored: list[Any] | None,
-        until_ms: float,
-        on_done: Callable[[bool], object],
-    ) -> None:
-        """Has an outcome recorded until a majority has it, or for as long as it is worth while."""
-        reservation = reservation_of(request)
-
-        def recorded(agreed: bool) -> None:
-            if agreed or self.context.now_ms() > until_ms:
-                on_done(agreed)
-                return
-            self.context.call_later(
-                self.client.timeout_ms() * RECORD_RETRY_TIMEOUTS,
-                self._record_until,
-                request,
-                state,
-                stored,
-                until_ms,
-                on_done,
-            )
-
-        if reservation.attempt is None:
-            on_done(False)
-            return
-        self._record(request, reservation.attempt, state, self.client.own_id(), stored, recorded)
-
-    def _record(
-        self,
-        request: SessionRequest,
-        attempt: AttemptId,
-        state: KeyState,
-        reserved_by: str,
-        stored: list[Any] | None = None,
-        on_done: Callable[[bool], object] | None = None,
-    ) -> None:
-        """Tells the group what became of a key; `on_done` gets whether a majority has it."""
-        reservation = reservation_of(request)
-        now_ms = self.context.now_ms()
-        expires_ms = now_ms + request.route.affinity.keep_ms
-        record = KeyRecord(attempt, state, reservation.fingerprint, reserved_by, stored, expires_ms)
-        fields = record.to_fields(now_ms)
-        lease = self.leases.held.get(reservation.session)
-        if lease is not None:
-            lease.record.merge_key(reservation.key, KeyRecord.from_fields(fields, now_ms))
-        # Endpoints go along with an outcome of this proxy's own request only.
-        own = on_done is not None
-        endpoints = dict(self.affinity.endpoints_of(reservation.session)) if own else {}
-
-        def done(replies: GroupReplies) -> None:
-            if on_done is not None:
-                on_done(replies.agreed)
-
-        self.client.request_all(
-            reservation.group,
-            MessageKind.SESSION_RECORD_OUTCOME,
-            lambda version: RecordOutcomeRequest(
-                reservation.group, version, reservation.session, reservation.key, fields, endpoints
-            ),
-            done,
-        )
--- a/stagevale/sessions/key_reservation.py
+++ b/stagevale/sessions/key_reservation.py
@@ -48,3 +48,14 @@
     def id(self) -> tuple[str, str]:
         """Session and key."""
         return self.session, self.key
+
+
+def reservation_of(request: SessionRequest) -> KeyReservation:
+    """The reservation of a request that has one.
+
+    Raises:
+        RuntimeError: it has none; the caller should have checked.
+    """
+    if request.reservation is None:
+        raise RuntimeError("the request needs no reservation")
+    return request.reservation
