--- a/stagevale/api/partner_view.py
+++ b/stagevale/api/partner_view.py
@@ -1,18 +1,14 @@
 """The merged table of partner routes as operators see it."""
 
-import http
 import json
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
 from stagevale.api.router import Answer, BadCallError
-from stagevale.configuration.commands import CommandKind
+from stagevale.configuration.commands import OK, UNAVAILABLE, CommandKind
 from stagevale.configuration.value import ConfigurationValue
 from stagevale.discovery.registry_service import RegistryService
 
-OK = http.HTTPStatus.OK.value
-UNAVAILABLE = http.HTTPStatus.SERVICE_UNAVAILABLE.value
-
 
 class ExplainedRequest(NamedTuple):
     """A request whose route is to be explained."""
--- a/stagevale/api/readiness.py
+++ b/stagevale/api/readiness.py
@@ -4,9 +4,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from stagevale.api.router import Answer, Call, Names, Resource, Router
+from stagevale.api.router import VERSION_PREFIX, Answer, Call, Names, Resource, Router
 
-VERSION_PREFIX = "v1"
 OK = http.HTTPStatus.OK.value
 
 
--- a/stagevale/api/registry_api.py
+++ b/stagevale/api/registry_api.py
@@ -9,6 +9,7 @@
 from stagevale.api.partner_view import PartnerView
 from stagevale.api.rollout_view import RolloutView
 from stagevale.api.router import (
+    VERSION_PREFIX,
     WILDCARD,
     Answer,
     BadCallError,
@@ -22,12 +23,10 @@
 )
 from stagevale.api.session_view import SessionView
 from stagevale.api.status_page import status_page
-from stagevale.configuration.commands import CommandKind
+from stagevale.configuration.commands import OK, CommandKind
 from stagevale.discovery.registry_service import RegistryService
 from stagevale.placement.fronts import MOST_FRONTS
 
-VERSION_PREFIX = "v1"
-OK = http.HTTPStatus.OK.value
 MOST_ID_CHARACTERS = 200
 MOST_SESSION_BYTES = 256
 MOST_OFFER_BYTES = 1024 * 1024
--- a/stagevale/api/rollout_view.py
+++ b/stagevale/api/rollout_view.py
@@ -6,13 +6,11 @@
 from typing import Any, NamedTuple
 
 from stagevale.api.router import Answer
-from stagevale.configuration.commands import CommandKind
+from stagevale.configuration.commands import OK, CommandKind
 from stagevale.discovery.instance import InstanceState
 from stagevale.discovery.registry_service import RegistryService
 from stagevale.placement.shards import shard_of
 
-OK = http.HTTPStatus.OK.value
-
 
 class VersionCapacity(NamedTuple):
     """The healthy endpoints of one software version and their slots."""
--- a/stagevale/api/router.py
+++ b/stagevale/api/router.py
@@ -20,7 +20,9 @@
 Names = tuple[str, ...]
 Dispatch = Callable[[Call, Answer], object]
 # A handler gets the segments in the places of the pattern's wildcards.
-Handler = Callable[[Call, tuple[str, ...], Answer], object]
+Handler = Callable[[Call, Names, Answer], object]
+
+VERSION_PREFIX = "v1"
 
 WILDCARD = None
 
@@ -65,7 +67,7 @@
         self.pattern = tuple(pattern)
         self.handlers = dict(handlers)
 
-    def match(self, segments: tuple[str, ...]) -> tuple[str, ...] | None:
+    def match(self, segments: tuple[str, ...]) -> Names | None:
         """The segments in the places of wildcards, or None for another path."""
         if len(segments) != len(self.pattern):
             return None
--- a/stagevale/api/session_view.py
+++ b/stagevale/api/session_view.py
@@ -8,16 +8,15 @@
 from stagevale.api.router import Answer
 from stagevale.configuration.value import SessionGroup
 from stagevale.discovery.registry_service import RegistryService
+from stagevale.quorum.ballot import INCARNATION_SEPARATOR
 from stagevale.quorum.call import majority
 from stagevale.rpc.errors import RequestError
 from stagevale.rpc.kinds import MessageKind
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.sessions.groups import group_name, homes_of
 from stagevale.sessions.messages import ReadSessionRequest, SessionReply
 from stagevale.sessions.records import SessionRecord
 
-MS_PER_S = 1000
-INCARNATION_SEPARATOR = "#"
-
 
 def _address_of(holder: str) -> str:
     return holder.partition(INCARNATION_SEPARATOR)[0]
@@ -107,11 +106,8 @@
             self.answer(http.HTTPStatus.OK.value, {"session": self.session, "records": rows})
 
     def _merged(self, replies: Iterable[Any]) -> SessionRecord:
-        now_ms = self.service.context.now_ms()
         record = SessionRecord()
-        for fields in replies:
-            if fields is not None:
-                record.merge(SessionRecord.from_fields(fields, now_ms))
+        record.merge_replies(replies, self.service.context.now_ms())
         return record
 
     def _row(self, name: str, record: SessionRecord) -> dict[str, Any]:
--- a/stagevale/balancing/budget.py
+++ b/stagevale/balancing/budget.py
@@ -1,8 +1,8 @@
 """The retry budget: each proxy spends its share of what all may spend together."""
 
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.settings.settings import Bounds
 
-MS_PER_S = 1000.0
 BUCKETS = 20
 # Less than the bounds allow: proxies don't know what the others spend.
 RATIO_SHARE = 0.6
--- a/stagevale/balancing/snapshot.py
+++ b/stagevale/balancing/snapshot.py
@@ -8,12 +8,12 @@
 from stagevale.balancing.target import Target
 from stagevale.configuration.value import ConfigurationValue, SessionGroup
 from stagevale.partners.table import NO_PARTNERS, OfferedRoute, PartnerTable, merge_offers
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.tenants.tenants import Keys, read_keys
 
 if TYPE_CHECKING:
     from stagevale.rollouts.rollout import Rollout
 
-MS_PER_S = 1000.0
 NO_SERIAL = -1
 # What holds where the configuration doesn't say.
 DEFAULT_KEEP_S = 600
--- a/stagevale/commands/delays.py
+++ b/stagevale/commands/delays.py
@@ -3,12 +3,11 @@
 import json
 from typing import Any
 
-from stagevale.commands.control_client import OK, check_addresses, read_status_page
+from stagevale.commands.control_client import OK, read_status_page
 from stagevale.commands.exit_codes import ExitCode, fail, misuse
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.settings.settings import SettingsError
 
-MS_PER_S = 1000
-
 
 def delays(*, control: list[str], edge: str = "", region: str = "", json_: bool = False) -> int:
     """Show for each edge and region the delay it expects beside what callers got; exit 0 shown, 1
@@ -22,10 +21,9 @@
     faults: list[str] = []
     for address in control:
         try:
-            check_addresses([address])
+            page = read_status_page(address)
         except SettingsError as error:
             return misuse(f"delays: {error}")
-        page = read_status_page(address)
         if page.status != OK or not isinstance(page.body, dict):
             faults.append(f"{address}: no stand: {page.summary}")
             continue
--- a/stagevale/commands/rehearse.py
+++ b/stagevale/commands/rehearse.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from stagevale.commands.control_client import OK, check_addresses, read_status_page
+from stagevale.commands.control_client import OK, read_status_page
 from stagevale.commands.exit_codes import ExitCode, misuse
 from stagevale.diagnostics import api_client
 from stagevale.failover_simulation.errors import SimulationError
@@ -55,7 +55,6 @@
     pages: list[dict[str, Any]] = []
     config: dict[str, Any] | None = None
     for address in control:
-        check_addresses([address])
         page = read_status_page(address)
         if page.status != OK or not isinstance(page.body, dict):
             raise RegistryError(f"{address}: no stand: {page.summary}")
--- a/stagevale/configuration/node.py
+++ b/stagevale/configuration/node.py
@@ -16,14 +16,13 @@
 from stagevale.consensus.commands import READ_VALUE, Command, CommandReply, succeeded
 from stagevale.consensus.node import ConsensusNode
 from stagevale.consensus.vote_storage import VoteStore
-from stagevale.membership.member import Member
+from stagevale.membership.member import REGISTRY_PROGRAM, STORE_PORT_OFFSET, STORE_PROGRAM, Member
 from stagevale.membership.membership import Membership
 from stagevale.quorum.ballot import Ballot
 from stagevale.rpc.kinds import MessageKind
 from stagevale.rpc.transport import RpcTransport
 from stagevale.runtime.context import Context
 
-REGISTRY_PROGRAM = "registry"
 # Commands whose callers wait until leases on what was withdrawn are out of use.
 LEASED_COMMANDS = (CommandKind.OFFER, CommandKind.WITHDRAW_OFFER, CommandKind.MOVE_ROLLOUT)
 # Of these the callers wait whether or not they withdrew anything.
@@ -62,6 +61,11 @@
         rollouts: likewise.
     """
 
+    program = STORE_PROGRAM
+    port_offset = STORE_PORT_OFFSET
+    log_prefix = "store"
+    subject = "configuration"
+
     __slots__ = ("leases", "find_handler", "sessions", "rollouts")
 
     sessions: SessionGroupTask
--- a/stagevale/configuration/outstanding_leases.py
+++ b/stagevale/configuration/outstanding_leases.py
@@ -1,10 +1,9 @@
 """For how long proxies may still use what has just been withdrawn from them."""
 
 from stagevale.leases.lease import longest_use_ms
+from stagevale.runtime.clock import LONG_AGO_MS
 from stagevale.runtime.context import Context
 
-LONG_AGO_MS = -1e12
-
 
 class OutstandingLeases:
     """Until when leases may be in use that are older than the newest withdrawal."""
--- a/stagevale/consensus/node.py
+++ b/stagevale/consensus/node.py
@@ -58,10 +58,10 @@
         stopping: a graceful shutdown has begun.
     """
 
-    program: ClassVar[str] = "store"
-    port_offset: ClassVar[int] = 1
-    log_prefix: ClassVar[str] = "store"
-    subject: ClassVar[str] = "configuration"
+    program: ClassVar[str]
+    port_offset: ClassVar[int]
+    log_prefix: ClassVar[str]
+    subject: ClassVar[str]
 
     __slots__ = (
         "context",
--- a/stagevale/daemons/proxy.py
+++ b/stagevale/daemons/proxy.py
@@ -15,15 +15,15 @@
 from stagevale.edge.target_table import TargetTable
 from stagevale.forwarding.client_connection import ClientConnection
 from stagevale.forwarding.forwarder import Forwarder
+from stagevale.membership.member import PROXY_PROGRAM
 from stagevale.rpc import codec
 from stagevale.rpc.kinds import MessageKind
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.runtime.context import Context
 from stagevale.singleton.messages import UsageReport
 from stagevale.singleton.usage_counter import UsageCounter
 
-PROGRAM = "proxy"
 USAGE_ROLE = "usage_report"
-MS_PER_S = 1000.0
 INCARNATION_BITS = 32
 # Shares of the grace period: when new connections are refused, and when the process ends at the
 # latest.
@@ -60,7 +60,7 @@
     )
 
     def __init__(self, context: Context, settings_path: str) -> None:
-        super().__init__(context, PROGRAM, 0, settings_path)
+        super().__init__(context, PROXY_PROGRAM, 0, settings_path)
         settings = context.settings
         self.forwarder = Forwarder(context, self.rpc.address)
         self.targets = TargetTable(context)
@@ -189,7 +189,7 @@
     def _on_membership_changed(self) -> None:
         proxies = tuple(
             ProxyMember(member.address, member.zone, member.region)
-            for member in self.membership.members(PROGRAM)
+            for member in self.membership.members(PROXY_PROGRAM)
         )
         if proxies != self.forwarder.snapshot.proxies:
             self.forwarder.snapshot = self.forwarder.snapshot.with_proxies(proxies)
--- a/stagevale/daemons/registry.py
+++ b/stagevale/daemons/registry.py
@@ -9,6 +9,8 @@
 from stagevale.consensus.vote_storage import VoteStorage, VoteStore
 from stagevale.daemons.daemon import Daemon
 from stagevale.discovery.registry_service import RegistryService, SessionReplicas
+from stagevale.membership.member import REGISTRY_PROGRAM
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.runtime.context import Context
 from stagevale.singleton.agreed_clock import AgreedClock
 from stagevale.singleton.node import USAGE_ROLE, SingletonNode
@@ -18,12 +20,10 @@
 from stagevale.storage.generations import GenerationFile
 from stagevale.storage.tables import NumberedTables
 
-PROGRAM = "registry"
 HINTS_FOLDER = "registry"
 SINGLETON_FOLDER = "duties"
 SESSIONS_FOLDER = "sessions"
 SERVED_PORTS = ("control", "directory")
-MS_PER_S = 1000.0
 # How long clients may keep the directory's answers, as a share of the longest that counts.
 TTL_SHARE = 0.8
 # Shares of the grace period: a shutdown takes at least the one, so that shards are handed over, and
@@ -44,7 +44,7 @@
     __slots__ = ("service", "api", "singleton", "_singleton_left")
 
     def __init__(self, context: Context, settings_path: str) -> None:
-        super().__init__(context, PROGRAM, 0, settings_path)
+        super().__init__(context, REGISTRY_PROGRAM, 0, settings_path)
         bounds = context.settings.bounds
         self.service = RegistryService(context, self.rpc, self.membership)
         self.service.make_session_replicas = self.make_session_replicas
--- a/stagevale/daemons/store.py
+++ b/stagevale/daemons/store.py
@@ -7,16 +7,15 @@
 from stagevale.consensus.vote_storage import VoteStorage, VoteStore
 from stagevale.daemons.command_handlers import find_handler
 from stagevale.daemons.daemon import Daemon
+from stagevale.membership.member import STORE_PORT_OFFSET, STORE_PROGRAM
 from stagevale.rollouts.manager import RolloutManager
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.runtime.context import Context
 from stagevale.sessions.group_manager import SessionGroupManager
 from stagevale.storage.folder import Folder
 from stagevale.storage.tables import NumberedTables
 
-PROGRAM = "store"
-PORT_OFFSET = 1
 FOLDER = "store"
-MS_PER_S = 1000.0
 # Shares of the grace period: a shutdown takes at least the one, so that peers hear of it, and at
 # most the other.
 SHORTEST_SHUTDOWN_SHARE = 0.2
@@ -33,7 +32,7 @@
     __slots__ = ("node",)
 
     def __init__(self, context: Context, settings_path: str) -> None:
-        super().__init__(context, PROGRAM, PORT_OFFSET, settings_path)
+        super().__init__(context, STORE_PROGRAM, STORE_PORT_OFFSET, settings_path)
         self.node = ConfigurationNode(
             context, self.rpc, self.membership, self.open_storage(), find_handler
         )
--- a/stagevale/diagnostics/settings_check.py
+++ b/stagevale/diagnostics/settings_check.py
@@ -3,10 +3,10 @@
 import os
 
 from stagevale.diagnostics.finding import Finding
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.runtime.context import Log
 from stagevale.settings.settings import Settings, SettingsError, load_settings
 
-MS_PER_S = 1000
 # A drain must be known within a round of the registries, and a proxy must be able to end in order.
 LEAST_DRAIN_PER_CONTACT = 1 / 4
 LEAST_GRACE_PER_CONTACT = 1 / 2
--- a/stagevale/discovery/configuration_client.py
+++ b/stagevale/discovery/configuration_client.py
@@ -1,27 +1,24 @@
 """A registry as a client of the stores: it follows the configuration value and forwards commands."""
 
-import http
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
+from stagevale.configuration.commands import OK, UNAVAILABLE
 from stagevale.configuration.messages import CommittedValue
 from stagevale.configuration.value import ConfigurationValue, read_configuration_value
 from stagevale.consensus.command_queue import COMMAND_BYTES_PER_MS
 from stagevale.consensus.commands import CommandReply, CommandRequest, ReadValueRequest
 from stagevale.consensus.messages import LeaderHeartbeat
+from stagevale.membership.member import STORE_PORT_OFFSET, STORE_PROGRAM
 from stagevale.partners.table import NO_PARTNERS, table_of
 from stagevale.rpc.errors import RequestError
 from stagevale.rpc.kinds import MessageKind
 from stagevale.rpc.transport import Reply
+from stagevale.runtime.clock import LONG_AGO_MS
 
 if TYPE_CHECKING:
     from stagevale.discovery.registry_service import RegistryService
 
-LONG_AGO_MS = -1e12
-STORE_PROGRAM = "store"
-STORE_PORT_OFFSET = 1
-OK = http.HTTPStatus.OK.value
-UNAVAILABLE = http.HTTPStatus.SERVICE_UNAVAILABLE.value
 # Shares of `ackDeadlineMs`: how long one store may take for a command, and how long its caller
 # waits for a daemon.
 STORE_SHARE = 0.23
--- a/stagevale/discovery/lease_relay.py
+++ b/stagevale/discovery/lease_relay.py
@@ -3,9 +3,8 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from stagevale.configuration.commands import CommandKind
+from stagevale.configuration.commands import OK, CommandKind
 from stagevale.consensus.commands import CommandReply, CommandRequest
-from stagevale.discovery.configuration_client import OK
 from stagevale.discovery.messages import LeaseGrant, LeaseRequest
 from stagevale.rpc.errors import RequestError
 from stagevale.rpc.kinds import MessageKind
--- a/stagevale/discovery/registry_service.py
+++ b/stagevale/discovery/registry_service.py
@@ -5,7 +5,7 @@
 
 from stagevale.configuration.value import SessionGroup
 from stagevale.discovery.anti_entropy import AntiEntropy
-from stagevale.discovery.configuration_client import LONG_AGO_MS, ConfigurationClient
+from stagevale.discovery.configuration_client import ConfigurationClient
 from stagevale.discovery.feeds import Feeds
 from stagevale.discovery.heartbeats import HeartbeatReceiver
 from stagevale.discovery.instance_hints import InstanceHints
@@ -15,17 +15,17 @@
 from stagevale.discovery.proxy_directory import ProxyDirectory
 from stagevale.discovery.shard_ownership import ShardOwnership
 from stagevale.membership.gossip_state import Handoff, HandoffStatus
-from stagevale.membership.member import Member, MemberState
+from stagevale.membership.member import REGISTRY_PROGRAM, Member, MemberState, machine_of
 from stagevale.membership.membership import Membership
 from stagevale.placement.shards import SHARDS
 from stagevale.rpc import codec
 from stagevale.rpc.errors import RequestError
 from stagevale.rpc.kinds import MessageKind
 from stagevale.rpc.transport import Reply, RpcTransport
+from stagevale.runtime.clock import LONG_AGO_MS
 from stagevale.runtime.context import Context
 from stagevale.storage.generations import GenerationFile
 
-REGISTRY_PROGRAM = "registry"
 LIVE_STATES = (MemberState.JOINING, MemberState.UP, MemberState.LEAVING)
 ROUNDS_PER_CONTACT = 4.0
 # In rounds: how soon after the start the first comes, and how far apart the ticks are.
@@ -193,7 +193,7 @@
         """True while this registry hears a majority of the core machines, itself included."""
         machines = self._core_machines()
         heard = {
-            address.rpartition(":")[0]
+            machine_of(address)
             for address in self._last_ping_ms
             if self._pinged_within(address, CONTACT_ROUNDS, CONTACT_ROUNDS_FAR)
         }
--- a/stagevale/edge/feed_client.py
+++ b/stagevale/edge/feed_client.py
@@ -11,6 +11,7 @@
     PullValue,
     SubscribeMessage,
 )
+from stagevale.membership.member import REGISTRY_PROGRAM
 from stagevale.placement.rule import feed_key
 from stagevale.rpc.kinds import MessageKind
 from stagevale.rpc.message import message_body
@@ -19,7 +20,6 @@
 if TYPE_CHECKING:
     from stagevale.daemons.proxy import Proxy
 
-REGISTRY_PROGRAM = "registry"
 ROUNDS_PER_CONTACT = 4.0
 # In rounds: how often an unsubscribed proxy looks for a feeder, when usage is reported between
 # renewals, how long a feeder may be silent, how long a former one is avoided, and how far apart
--- a/stagevale/failover_simulation/simulation.py
+++ b/stagevale/failover_simulation/simulation.py
@@ -11,8 +11,8 @@
 from stagevale.failover_simulation.plan import Flow, Plan, flows_without
 from stagevale.failover_simulation.tally import EFFECTFUL, IDEMPOTENT, Tally
 from stagevale.forwarding.forwarder import REJECT_SHARE
+from stagevale.runtime.clock import MS_PER_S
 
-MS_PER_S = 1000.0
 DEFAULT_SECONDS = 20
 # A request that finds no endpoint is offered again so often before it is rejected.
 OFFERS_BEFORE_REJECTION = 4
--- a/stagevale/forwarding/endpoint_connection.py
+++ b/stagevale/forwarding/endpoint_connection.py
@@ -11,13 +11,13 @@
 from stagevale.forwarding.headers import without_hop_headers
 from stagevale.forwarding.request import Headers, Request
 from stagevale.rpc.codec import socket_address
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.runtime.context import Timer
 
 if TYPE_CHECKING:
     from stagevale.forwarding.forwarder import Forwarder
 
 MOST_ANSWER_BYTES = 64 * 1024 * 1024
-MS_PER_S = 1000.0
 # A connection may take a fourteenth of `contactMs` to come up; an idle one is kept for this share of
 # it where the endpoint doesn't tell.
 CONNECTS_PER_CONTACT = 14.0
--- a/stagevale/forwarding/forwarder.py
+++ b/stagevale/forwarding/forwarder.py
@@ -15,6 +15,7 @@
 from stagevale.forwarding.request import Request
 from stagevale.forwarding.retry_policy import RetryPolicy
 from stagevale.leases.lease import Lease
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.runtime.context import Context
 from stagevale.sessions.records import KeyState
 from stagevale.singleton.usage_counter import UsageCounter
@@ -39,7 +40,6 @@
 # An endpoint that couldn't be reached, or broke off, rests for so small a part of `contactMs`.
 UNREACHABLE_RESTS_PER_CONTACT = 8.0
 BROKEN_RESTS_PER_CONTACT = 10.0
-MS_PER_S = 1000.0
 RETRIES = "again"
 
 
--- a/stagevale/latency_routing/estimate.py
+++ b/stagevale/latency_routing/estimate.py
@@ -1,6 +1,7 @@
 """What one region's answers of one service take."""
 
 from stagevale.latency_routing.histogram import Histogram
+from stagevale.runtime.clock import LONG_AGO_MS
 
 # The slowness of a region of which nothing is known: it answers as fast as the usual one.
 NEUTRAL = 1.0
@@ -9,7 +10,6 @@
 MOST_WEIGHT_AFTER_PAUSE = 0.5
 # Fewer answers say nothing.
 ENOUGH_ANSWERS = 8
-LONG_AGO_MS = -1e12
 
 
 class LatencyEstimate:
--- a/stagevale/latency_routing/router.py
+++ b/stagevale/latency_routing/router.py
@@ -4,7 +4,8 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from stagevale.latency_routing.estimate import LONG_AGO_MS, NEUTRAL, LatencyEstimate
+from stagevale.latency_routing.estimate import NEUTRAL, LatencyEstimate
+from stagevale.runtime.clock import LONG_AGO_MS
 from stagevale.settings.settings import Bounds
 
 # Measurements are forgotten after so many times `contactMs`; shares move once in so small a part.
--- a/stagevale/leases/lease.py
+++ b/stagevale/leases/lease.py
@@ -1,8 +1,8 @@
 """A proxy's lease on what may be withdrawn from it, and how long the stores wait for it."""
 
+from stagevale.runtime.clock import LONG_AGO_MS
 from stagevale.settings.settings import Bounds
 
-LONG_AGO_MS = -1e12
 # A lease lasts this share of `applyMs`. A proxy uses it for a little less, and the stores wait a
 # little longer, since their clocks don't run alike.
 LENGTH_SHARE = 0.8
--- a/stagevale/membership/downing.py
+++ b/stagevale/membership/downing.py
@@ -5,7 +5,7 @@
 
 from typing import TYPE_CHECKING
 
-from stagevale.membership.member import COUNTED_STATES, Member, MemberState
+from stagevale.membership.member import COUNTED_STATES, Member, MemberState, machine_of
 
 if TYPE_CHECKING:
     from stagevale.membership.membership import Membership
@@ -54,7 +54,7 @@
         membership = self.membership
         members = membership.state.members
         machines = {
-            observer.rpartition(":")[0]
+            machine_of(observer)
             for observer, report in membership.gossip.reports.items()
             if address in report.unreachable
             and membership.is_reachable(observer)
--- a/stagevale/membership/member.py
+++ b/stagevale/membership/member.py
@@ -5,7 +5,11 @@
 import zlib
 from typing import Any, NamedTuple
 
-EDGE_PROGRAM = "proxy"
+# The three daemons. A store uses the port after the first of the machine's inner ports.
+PROXY_PROGRAM = "proxy"
+REGISTRY_PROGRAM = "registry"
+STORE_PROGRAM = "store"
+STORE_PORT_OFFSET = 1
 
 
 class MemberState(enum.IntEnum):
@@ -146,18 +150,23 @@
     @property
     def machine(self) -> str:
         """The machine's IP address."""
-        return self.address.rpartition(":")[0]
+        return machine_of(self.address)
 
     @property
     def is_core(self) -> bool:
         """True for daemons of core machines, which have a say in downing."""
-        return self.program != EDGE_PROGRAM
+        return self.program != PROXY_PROGRAM
 
     def precedence(self) -> tuple[int, int, int]:
         """Of two rows of one address the one with the higher precedence is kept."""
         return self.generation, self.uid, self.state
 
 
+def machine_of(address: str) -> str:
+    """The IP address of an `ip:port`, which names a machine."""
+    return address.rpartition(":")[0]
+
+
 @functools.lru_cache(maxsize=16384)
 def address_order(address: str) -> tuple[int, ...]:
     """The key by which addresses are sorted, which decides on the leader.
--- a/stagevale/placement/rule.py
+++ b/stagevale/placement/rule.py
@@ -5,10 +5,9 @@
 
 from stagevale.membership.gossip_state import Handoff, HandoffStatus, PlacementTable
 from stagevale.membership.leader_actions import Placement
-from stagevale.membership.member import Member, MemberState, address_order
+from stagevale.membership.member import REGISTRY_PROGRAM, Member, MemberState, address_order
 from stagevale.placement.shards import SHARDS
 
-REGISTRY_PROGRAM = "registry"
 REPLICAS = 3
 FEEDERS_PER_ZONE = 3
 FEED_PREFIX = "feeds-"
--- a/stagevale/rollouts/judge.py
+++ b/stagevale/rollouts/judge.py
@@ -7,13 +7,12 @@
 from stagevale.configuration.value import ConfigurationValue
 from stagevale.rollouts.outcomes import OutcomeCounts, OutcomeRow
 from stagevale.rollouts.rollout import Rollout, RolloutState, Side
+from stagevale.runtime.clock import LONG_AGO_MS, MS_PER_S
 from stagevale.settings.settings import Bounds
 
 # A proxy that has reported nothing for this share of `contactMs` is not known to be well.
 SILENCE_SHARE = 0.75
 DEFAULT_TOLERANCE = 1
-MS_PER_S = 1000.0
-LONG_AGO_MS = -1e12
 
 
 class ZoneCounts(NamedTuple):
--- a/stagevale/rollouts/manager.py
+++ b/stagevale/rollouts/manager.py
@@ -3,14 +3,13 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from stagevale.membership.member import MemberState
+from stagevale.membership.member import PROXY_PROGRAM, MemberState
 from stagevale.rollouts.rollout import Rollout, RolloutState
 
 if TYPE_CHECKING:
     from stagevale.configuration.node import ConfigurationNode
     from stagevale.rollouts.judge import Judge
 
-EDGE_PROGRAM = "proxy"
 FALLING_BACK = "falling back"
 
 
@@ -53,7 +52,7 @@
         self._due = False
         from stagevale.rollouts.judge import judge_all, log_text
 
-        proxies = node.membership.members(EDGE_PROGRAM, (MemberState.UP,))
+        proxies = node.membership.members(PROXY_PROGRAM, (MemberState.UP,))
         addresses = [member.address for member in proxies]
         judged = judge_all(self._ensure_judge(), value, addresses, node.context.now_ms())
         if judged is None:
--- a/stagevale/runtime/asyncio_context.py
+++ b/stagevale/runtime/asyncio_context.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from typing import Any
 
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.runtime.context import DiskCallback, Log, SocketAddress
 from stagevale.runtime.disk_thread import DiskThread
 from stagevale.runtime.sockets import set_silence_limit
 from stagevale.runtime.stall_monitor import StallMonitor
 from stagevale.settings.settings import Settings
 
-MS_PER_S = 1000.0
 LISTEN_BACKLOG = 512
 
 
--- a/stagevale/sessions/group_client.py
+++ b/stagevale/sessions/group_client.py
@@ -6,6 +6,7 @@
 
 from stagevale.configuration.value import SessionGroup
 from stagevale.membership.membership import Membership
+from stagevale.quorum.ballot import INCARNATION_SEPARATOR
 from stagevale.quorum.call import majority
 from stagevale.rpc.errors import RequestError
 from stagevale.rpc.kinds import MessageKind
@@ -109,7 +110,7 @@
     def own_id(self) -> str:
         """This proxy as the holder of a lease: `address#uid`."""
         me = self.membership.me
-        return f"{me.address}#{me.uid}"
+        return f"{me.address}{INCARNATION_SEPARATOR}{me.uid}"
 
     def timeout_ms(self) -> float:
         """How long a replica may take."""
--- a/stagevale/sessions/group_manager.py
+++ b/stagevale/sessions/group_manager.py
@@ -6,7 +6,7 @@
 
 from stagevale.configuration.value import ConfigurationValue, SessionGroup
 from stagevale.consensus.reconfiguration import GONE_SHARE
-from stagevale.membership.member import Member, MemberState
+from stagevale.membership.member import REGISTRY_PROGRAM, Member, MemberState
 from stagevale.quorum.call import majority
 from stagevale.rpc.errors import RequestError
 from stagevale.rpc.kinds import MessageKind
@@ -16,7 +16,6 @@
 if TYPE_CHECKING:
     from stagevale.configuration.node import ConfigurationNode
 
-REGISTRY_PROGRAM = "registry"
 # Groups that have learned within this share of a request time-out are committed together.
 COMMIT_BATCH_SHARE = 0.25
 # Cheaper than reading the configuration: a route that asks for affinity has this key.
--- a/stagevale/sessions/key_lookup.py
+++ b/stagevale/sessions/key_lookup.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 
 from stagevale.membership.member import MemberState
+from stagevale.quorum.ballot import INCARNATION_SEPARATOR
 from stagevale.rpc.kinds import MessageKind
 from stagevale.sessions.group_client import GroupClient, GroupReplies
 from stagevale.sessions.key_reservation import reservation_of
@@ -24,11 +25,11 @@
         reservation = reservation_of(request)
 
         def replied(replies: GroupReplies) -> None:
-            now_ms = self.client.context.now_ms()
             record = SessionRecord()
-            for reply in replies.with_code(ReplyCode.DONE):
-                if reply.content is not None:
-                    record.merge(SessionRecord.from_fields(reply.content, now_ms))
+            record.merge_replies(
+                (reply.content for reply in replies.with_code(ReplyCode.DONE)),
+                self.client.context.now_ms(),
+            )
             on_read(record)
 
         self.client.request_all(
@@ -44,7 +45,7 @@
         Args:
             proxy_id: address and incarnation of the proxy.
         """
-        address, _, uid = proxy_id.partition("#")
+        address, _, uid = proxy_id.partition(INCARNATION_SEPARATOR)
         if proxy_id == self.client.own_id():
             return False
         membership = self.client.membership
--- a/stagevale/sessions/records.py
+++ b/stagevale/sessions/records.py
@@ -1,7 +1,7 @@
 """What is known of a session: who holds its lease, its endpoints, its requests by key."""
 
 import enum
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
 
@@ -167,6 +167,16 @@
             {key: KeyRecord.from_fields(row, now_ms) for key, row in keys.items()},
         )
 
+    def merge_replies(self, contents: Iterable[list[Any] | None], now_ms: float) -> None:
+        """Takes in what replicas have replied; None stands for one that has no record.
+
+        Raises:
+            ValueError, TypeError, IndexError: the fields have another shape.
+        """
+        for fields in contents:
+            if fields is not None:
+                self.merge(SessionRecord.from_fields(fields, now_ms))
+
     def merge(self, other: "SessionRecord") -> None:
         """Takes in what another replica of the record knows."""
         if other.lease > self.lease:
--- a/stagevale/sessions/session_leases.py
+++ b/stagevale/sessions/session_leases.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from stagevale.membership.member import PROXY_PROGRAM
 from stagevale.rpc.kinds import MessageKind
 from stagevale.rpc.transport import Reply
 from stagevale.sessions.endpoint_affinity import MOST_SESSIONS, EndpointAffinity
@@ -11,7 +12,6 @@
 from stagevale.sessions.messages import AcquireRequest, ReplyCode, SuccessorRow
 from stagevale.sessions.records import LeaseVersion, SessionRecord
 
-EDGE_PROGRAM = "proxy"
 FIRST_NUMBER = 1
 # A lease that another proxy has acquired meanwhile is tried again after a random pause, so that two
 # don't go on overtaking each other.
@@ -163,7 +163,7 @@
         membership = self.client.membership
         successors = [
             member
-            for member in membership.members(EDGE_PROGRAM)
+            for member in membership.members(PROXY_PROGRAM)
             if member.zone == membership.me.zone
             and member.address != membership.me.address
             and membership.is_reachable(member.address)
--- a/stagevale/singleton/node.py
+++ b/stagevale/singleton/node.py
@@ -10,10 +10,12 @@
 from stagevale.consensus.node import ConsensusNode
 from stagevale.consensus.vote_storage import VoteStore
 from stagevale.consensus.voter_id import addresses_of
+from stagevale.membership.member import REGISTRY_PROGRAM
 from stagevale.membership.membership import Membership
 from stagevale.quorum.ballot import Ballot
 from stagevale.rpc.kinds import SINGLETON_KIND_OFFSET, MessageKind
 from stagevale.rpc.transport import Reply, RpcTransport
+from stagevale.runtime.clock import LONG_AGO_MS, MS_PER_S
 from stagevale.runtime.context import Context
 from stagevale.singleton.agreed_clock import AgreedClock
 from stagevale.singleton.messages import UsageCountsRequest
@@ -25,8 +27,6 @@
 # The role's name in the settings and on the status page.
 USAGE_ROLE = "usage_report"
 NOT_FOUND = 404
-MS_PER_S = 1000.0
-LONG_AGO_MS = -1e12
 HEARTBEATS_PER_CONTACT = 2.0
 CYCLES_PER_CONTACT = 8.0
 # In heartbeat intervals: how long the first voter bears the holder's silence, and how much longer
@@ -55,7 +55,7 @@
         clock: the core's agreed time.
     """
 
-    program = "registry"
+    program = REGISTRY_PROGRAM
     port_offset = 0
     kind_offset = SINGLETON_KIND_OFFSET
     log_prefix = "duties"
--- a/stagevale/singleton/usage_collector.py
+++ b/stagevale/singleton/usage_collector.py
@@ -5,9 +5,11 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
+from stagevale.membership.member import PROXY_PROGRAM, REGISTRY_PROGRAM
 from stagevale.rpc.errors import RequestError
 from stagevale.rpc.kinds import MessageKind
 from stagevale.rpc.message import read_message
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.singleton.messages import ProxyCountsRow, UsageCountsReply, UsageCountsRequest
 from stagevale.singleton.usage_table import TenantCounts, add_counts
 from stagevale.singleton.value import PendingReport
@@ -15,9 +17,6 @@
 if TYPE_CHECKING:
     from stagevale.singleton.node import SingletonNode
 
-MS_PER_S = 1000.0
-EDGE_PROGRAM = "proxy"
-REGISTRY_PROGRAM = "registry"
 NO_COUNTS = "{}"
 # Shares of `usageDelayS`: how long after its end a window's counts are taken to have arrived, when
 # it is committed though some are missing, and how far apart looks are.
@@ -189,7 +188,7 @@
             return
         if window != self._next_window():
             return
-        known = len(node.membership.members(EDGE_PROGRAM))
+        known = len(node.membership.members(PROXY_PROGRAM))
         complete = (
             collection.complete
             and collection.proxies >= known
--- a/stagevale/singleton/usage_counter.py
+++ b/stagevale/singleton/usage_counter.py
@@ -3,9 +3,9 @@
 import json
 from typing import Any
 
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.settings.settings import Bounds
 
-MS_PER_S = 1000.0
 WINDOWS_KEPT = 8
 # A difference from the told time up to this is taken over little by little.
 STEP_MS = 1000.0
--- a/stagevale/singleton/usage_sender.py
+++ b/stagevale/singleton/usage_sender.py
@@ -3,15 +3,14 @@
 import http
 from typing import TYPE_CHECKING
 
+from stagevale.runtime.clock import LONG_AGO_MS, MS_PER_S
 from stagevale.singleton.platform_call import PlatformCall, PlatformRequest
 from stagevale.singleton.value import PendingReport, SingletonValue
 
 if TYPE_CHECKING:
     from stagevale.singleton.node import SingletonNode
 
-MS_PER_S = 1000.0
 SUCCESS, REDIRECTION = 200, 300
-LONG_AGO_MS = -1e12
 USAGE_PATH = "/usage"
 SENT_KEPT = 100
 # Shares of `usageDelayS`: the shortest and the longest pause after a failed call, and how long a
--- a/stagevale/singleton/usage_table.py
+++ b/stagevale/singleton/usage_table.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from stagevale.rpc.message import read_message
+from stagevale.runtime.clock import MS_PER_S
 from stagevale.settings.settings import Bounds
 from stagevale.singleton.messages import ProxyCountsRow, UsageCountsReply, UsageReport
 
-MS_PER_S = 1000.0
 WINDOWS_KEPT = 8
 INCARNATIONS_KEPT = 16
 
