--- a/stagevale/api/heartbeat_body.py
+++ b/stagevale/api/heartbeat_body.py
@@ -48,7 +48,7 @@
         )
     slots = _read_number(details, "slots", 1)
     call_seq = _read_number(status, "callSeq", 0)
-    warmup_ms = _read_number({"coldLeftMs": 0, **status}, "coldLeftMs", 0)
+    warmup_ms = _read_number(status, "coldLeftMs", 0, default=0)
     if state not in ("ready", "draining"):
         raise BadCallError(f"state: want ready or draining, got {state!r}")
     return Instance(
@@ -89,8 +89,8 @@
     return value
 
 
-def _read_number(table: Table, field: str, least: int) -> int:
-    value = table.get(field)
+def _read_number(table: Table, field: str, least: int, default: int | None = None) -> int:
+    value = table.get(field, default)
     if (
         isinstance(value, bool)
         or not isinstance(value, (int, float))
--- a/stagevale/api/partner_view.py
+++ b/stagevale/api/partner_view.py
@@ -62,8 +62,8 @@
             "proxies": [
                 {
                     "address": proxy.address,
-                    "serial": proxy.partner_table[0] if proxy.partner_table else None,
-                    "mark": proxy.partner_table[1] if proxy.partner_table else None,
+                    "serial": proxy.partner_table.serial if proxy.partner_table else None,
+                    "mark": proxy.partner_table.mark if proxy.partner_table else None,
                 }
                 for proxy in self.service.feeds.subscribers.values()
             ],
--- a/stagevale/api/status_page.py
+++ b/stagevale/api/status_page.py
@@ -86,6 +86,6 @@
         "region": proxy.region,
         "ready": bool(proxy.ready),
         "report": report,
-        "table": proxy.partner_table,
+        "table": list(proxy.partner_table or ()),
         "delays": report[LATENCIES_FIELD] if len(report) > LATENCIES_FIELD else [],
     }
--- a/stagevale/balancing/snapshot.py
+++ b/stagevale/balancing/snapshot.py
@@ -7,7 +7,13 @@
 
 from stagevale.balancing.target import Target
 from stagevale.configuration.value import ConfigurationValue, SessionGroup
-from stagevale.partners.table import NO_PARTNERS, OfferedRoute, PartnerTable, merge_offers
+from stagevale.partners.table import (
+    DEFAULT_VARIANT,
+    NO_PARTNERS,
+    OfferedRoute,
+    PartnerTable,
+    merge_offers,
+)
 from stagevale.runtime.clock import MS_PER_S
 from stagevale.tenants.tenants import Keys, read_keys
 
@@ -17,7 +23,6 @@
 NO_SERIAL = -1
 # What holds where the configuration doesn't say.
 DEFAULT_KEEP_S = 600
-DEFAULT_VARIANT = "effectful"
 IDEMPOTENT_VARIANT = "pure"
 DEFAULT_MAX_CONNECTIONS = 100
 DEFAULT_HEADER_BYTES = 16384
--- a/stagevale/consensus/command_queue.py
+++ b/stagevale/consensus/command_queue.py
@@ -18,6 +18,7 @@
 from stagevale.quorum.ballot import NO_BALLOT
 from stagevale.rpc.errors import RequestError, RequestTimeoutError
 from stagevale.rpc.kinds import MessageKind
+from stagevale.rpc.message import message_body
 
 if TYPE_CHECKING:
     from stagevale.consensus.node import ConsensusNode
@@ -96,13 +97,13 @@
 
     def on_command(self, peer: str, request: CommandRequest, reply: Callable[[Any], None]) -> None:
         """A registry or another voter sends a command."""
-        self.submit(request, lambda answer: reply(answer.to_body()))
+        self.submit(request, lambda answer: reply(message_body(answer)))
 
     def on_read_value(self, peer: str, body: Any, reply: Callable[[Any], None]) -> None:
         """A registry or another voter asks for the complete value."""
         forwarded = body[0] if body else False
         request = CommandRequest(READ_VALUE, "", forwarded)
-        self.submit(request, lambda answer: reply(answer.to_body()))
+        self.submit(request, lambda answer: reply(message_body(answer)))
 
     def submit(self, request: CommandRequest, reply: OnCommandReply) -> None:
         """Carries a command out here, forwards it to the leader, or rejects it (503)."""
--- a/stagevale/consensus/commands.py
+++ b/stagevale/consensus/commands.py
@@ -42,11 +42,6 @@
     content: str | bytes
     lease_left_ms: int | None = None
 
-    def to_body(self) -> list[Any]:
-        """The reply as it travels: without the last field where it says nothing."""
-        fields = list(self)
-        return fields if self.lease_left_ms is not None else fields[:-1]
-
     @classmethod
     def from_body(cls, body: Any) -> "CommandReply | None":
         """A reply as it came; None where it is empty."""
--- a/stagevale/consensus/replication.py
+++ b/stagevale/consensus/replication.py
@@ -36,6 +36,14 @@
     data: bytes
 
 
+class LastDelta(NamedTuple, Generic[ValueT]):
+    """The delta computed last; `data` is None where only the complete value will do."""
+
+    before: ValueT
+    value: ValueT
+    data: bytes | None
+
+
 class Replication(Generic[ValueT]):
     """Brings the leader's value to the voters and keeps track of what each of them holds.
 
@@ -49,7 +57,7 @@
         self.node = node
         self.voter_digests: dict[str, bytes] = {}
         self._unconfirmed = 0
-        self._last_delta: tuple[ValueT, ValueT, bytes | None] | None = None
+        self._last_delta: LastDelta[ValueT] | None = None
 
     def reset(self) -> None:
         """A new leadership begins: nothing is known yet of what the voters hold."""
@@ -166,10 +174,11 @@
         if before is None or not voter or self.voter_digests.get(voter) != before.digest:
             return Payload(b"", value.encoded)
         last = self._last_delta
-        if last is None or last[0] is not before or last[1] is not value:
-            last = self._last_delta = before, value, value.delta_from(before)
-        delta = last[2]
-        return Payload(b"", value.encoded) if delta is None else Payload(before.digest, delta)
+        if last is None or last.before is not before or last.value is not value:
+            last = self._last_delta = LastDelta(before, value, value.delta_from(before))
+        if last.data is None:
+            return Payload(b"", value.encoded)
+        return Payload(before.digest, last.data)
 
     # confirming
 
--- a/stagevale/discovery/feeds.py
+++ b/stagevale/discovery/feeds.py
@@ -1,7 +1,7 @@
 """Feeds: instances and the configuration value, brought to the proxies that subscribe here."""
 
-from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from stagevale.discovery.instance import Instance, InstanceState
 from stagevale.discovery.instance_table import rows_of
@@ -32,6 +32,13 @@
 SILENT_ROUNDS = 2.2
 
 
+class PartnerTableMark(NamedTuple):
+    """Which table of partner routes a proxy holds: of which value, and its hash."""
+
+    serial: int
+    mark: str
+
+
 class Subscriber:
     """A proxy that this registry feeds.
 
@@ -41,7 +48,7 @@
         waiting: it gets nothing until the value is confirmed.
         started: it has been sent everything once.
         report: its latest report about endpoints.
-        partner_table: serial and mark of its table of partner routes; empty for none.
+        partner_table: its table of partner routes, or None.
     """
 
     __slots__ = (
@@ -69,15 +76,15 @@
         self.waiting = False
         self.started = False
         self.report: list[Any] = message.report
-        self.partner_table: list[Any] = []
+        self.partner_table: PartnerTableMark | None = None
 
     def renew(self, message: SubscribeMessage, now_ms: float) -> None:
         """The proxy renews its subscription."""
         self.last_heard_ms = now_ms
         self.ready = message.ready
-        self.partner_table = [
-            field for field in (message.partner_serial, message.partner_mark) if field is not None
-        ]
+        self.partner_table = None
+        if message.partner_serial is not None and message.partner_mark is not None:
+            self.partner_table = PartnerTableMark(message.partner_serial, message.partner_mark)
 
     def to_row(self) -> ProxyRow:
         """The proxy as other registries are told of it."""
@@ -231,15 +238,15 @@
         if self.subscribers.pop(proxy, None) is not None:
             self.service.proxies.announce(proxy)
 
-    def send_heartbeats(self, make_heartbeat: Callable[[], FeedHeartbeat]) -> None:
-        """Sends heartbeats to the subscribers, and drops those that have been silent."""
+    def send_heartbeats(self, heartbeat: FeedHeartbeat) -> None:
+        """Sends a heartbeat to the subscribers, and drops those that have been silent."""
+        body = message_body(heartbeat)
         now_ms = self.context.now_ms()
         limit_ms = self.service.interval_ms * SILENT_ROUNDS
         for subscriber in list(self.subscribers.values()):
             if now_ms - subscriber.last_heard_ms > limit_ms:
                 self.remove(subscriber.address)
             else:
-                body = message_body(make_heartbeat())
                 self.rpc.send(subscriber.address, MessageKind.FEED_HEARTBEAT, body)
 
     # the configuration value
--- a/stagevale/discovery/instance_hints.py
+++ b/stagevale/discovery/instance_hints.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from stagevale.discovery.instance import Instance, InstanceState
+from stagevale.discovery.instance import Instance
 from stagevale.discovery.instance_table import rows_of
 from stagevale.rpc import codec
 from stagevale.storage.generations import GenerationFile
@@ -50,11 +50,7 @@
         if self._saving or checksum == self._saved_checksum:
             return
         self._saving = True
-        healthy = [
-            instance
-            for instance in instances.by_id.values()
-            if instance.is_healthy and instance.state != InstanceState.GONE
-        ]
+        healthy = [instance for instance in instances.by_id.values() if instance.is_counted]
         record = codec.encode([HINTS_KIND, rows_of(healthy, self.context.now_ms())])
 
         def saved(_: Any, error: Exception | None) -> None:
--- a/stagevale/discovery/instance_table.py
+++ b/stagevale/discovery/instance_table.py
@@ -109,7 +109,7 @@
 
     def rows(self, shard: str, now_ms: float) -> list[Any]:
         """The instances of a shard as rows of a message."""
-        return [instance.to_row(now_ms) for instance in self.in_shard(shard)]
+        return rows_of(self.in_shard(shard), now_ms)
 
     def summary(self, shard: str) -> bytes:
         """The instances of a shard as eight bytes each: key and checksum."""
--- a/stagevale/discovery/registry_service.py
+++ b/stagevale/discovery/registry_service.py
@@ -232,7 +232,7 @@
             if self.hints is not None:
                 self.hints.save()
         self.shard_ownership.declare_silent_unhealthy()
-        self.feeds.send_heartbeats(self._feed_heartbeat)
+        self.feeds.send_heartbeats(self._feed_heartbeat())
 
     def _ping_targets(self, whole_round: bool) -> list[str]:
         """The registries to ping: those of other regions once a round only."""
--- a/stagevale/discovery/shard_ownership.py
+++ b/stagevale/discovery/shard_ownership.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from stagevale.discovery.instance import Instance, InstanceState
+from stagevale.discovery.instance import Instance
 from stagevale.discovery.messages import ShardCampaign
 from stagevale.placement.shards import SHARDS
 from stagevale.quorum.ballot import Ballot, candidate_id
@@ -168,8 +168,4 @@
 
 
 def _is_silent(instance: Instance, oldest_ms: float) -> bool:
-    return (
-        instance.state != InstanceState.GONE
-        and instance.is_healthy
-        and instance.last_heartbeat_ms <= oldest_ms
-    )
+    return instance.is_counted and instance.last_heartbeat_ms <= oldest_ms
--- a/stagevale/failover_simulation/plan.py
+++ b/stagevale/failover_simulation/plan.py
@@ -5,12 +5,11 @@
 
 from stagevale.balancing.snapshot import Route, Service
 from stagevale.failover_simulation.errors import SimulationError
+from stagevale.forwarding.forwarder import RETRIES
 from stagevale.placement.fronts import ReadyFront, fronts_for
 from stagevale.runtime.clock import MS_PER_S
 from stagevale.settings.settings import Bounds
 
-# Beside zones a proxy reports how many requests were retried, under this name.
-RETRIES = "again"
 # The parts of a proxy's report that are read here; others follow.
 REPORT_FIELDS = 4
 
--- a/stagevale/forwarding/answer.py
+++ b/stagevale/forwarding/answer.py
@@ -3,6 +3,9 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
+# Answers with these have no body.
+BODILESS_STATUSES = (204, 304)
+
 HeaderList = Sequence[tuple[bytes, bytes]]
 
 
--- a/stagevale/forwarding/answer_policy.py
+++ b/stagevale/forwarding/answer_policy.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from stagevale.balancing.target import Target
-from stagevale.forwarding.endpoint_connection import EndpointAnswer
+from stagevale.forwarding.endpoint_connection import MISDIRECTED, EndpointAnswer
 from stagevale.forwarding.request import Request
 from stagevale.sessions.records import KeyState
 
@@ -13,7 +13,6 @@
 
 BAD_GATEWAY = http.HTTPStatus.BAD_GATEWAY.value
 UNAVAILABLE = http.HTTPStatus.SERVICE_UNAVAILABLE.value
-MISDIRECTED = http.HTTPStatus.MISDIRECTED_REQUEST.value
 SERVER_ERROR = http.HTTPStatus.INTERNAL_SERVER_ERROR.value
 # Statuses that promise that the request has not run: an endpoint's without `Not-Run` promise
 # nothing, so they never go to the client.
@@ -21,7 +20,6 @@
 SEAL_HEADER = b"server-seal"
 LOAD_HEADER = b"server-load"
 LOAD_FIELDS = 3
-NOT_RUN_HEADER = b"not-run"
 # A full endpoint's load, in its slots, where it doesn't tell.
 FULL_LOAD_SLOTS = 3.0
 
@@ -40,7 +38,7 @@
         """Handles an endpoint's answer to a request."""
         now_ms = self.context.now_ms()
         _learn_load(target, answer, now_ms)
-        not_run = NOT_RUN_HEADER in answer.fields or answer.status == MISDIRECTED
+        not_run = answer.proves_not_run
         if request.answer is not None:
             self._record_late(request, answer, not_run)
             return
--- a/stagevale/forwarding/client_connection.py
+++ b/stagevale/forwarding/client_connection.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from stagevale.forwarding.answer import NOT_WRITTEN, Answer
+from stagevale.forwarding.answer import BODILESS_STATUSES, NOT_WRITTEN, Answer
 from stagevale.forwarding.request import Request
 from stagevale.runtime.context import Timer
 
@@ -18,7 +18,6 @@
 MOST_READ_AHEAD = 8
 # A header line's colon, space and line end.
 HEADER_OVERHEAD_BYTES = 4
-BODILESS_STATUSES = (204, 304)
 
 BAD_REQUEST = http.HTTPStatus.BAD_REQUEST.value
 TIMEOUT = http.HTTPStatus.REQUEST_TIMEOUT.value
--- a/stagevale/forwarding/endpoint_connection.py
+++ b/stagevale/forwarding/endpoint_connection.py
@@ -2,12 +2,13 @@
 
 import asyncio
 import http
+from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
 import h11
 
 from stagevale.balancing.target import Target
-from stagevale.forwarding.answer import Answer
+from stagevale.forwarding.answer import BODILESS_STATUSES, Answer
 from stagevale.forwarding.headers import without_hop_headers
 from stagevale.forwarding.request import Headers, Request
 from stagevale.rpc.codec import socket_address
@@ -28,8 +29,8 @@
 # Answers to earlier requests that may come in the place of the one that is due.
 MOST_SURPLUS = 2
 BODILESS_METHODS = (b"GET", b"HEAD", b"DELETE", b"OPTIONS")
-BODILESS_STATUSES = (204, 304)
 MISDIRECTED = http.HTTPStatus.MISDIRECTED_REQUEST.value
+NOT_RUN_HEADER = b"not-run"
 SUCCESS, REDIRECTION = 200, 300
 
 
@@ -62,11 +63,20 @@
         """True for a 2xx."""
         return SUCCESS <= self.status < REDIRECTION
 
+    @property
+    def proves_not_run(self) -> bool:
+        """True where the endpoint says that it hasn't run the request."""
+        return _proves_not_run(self.status, self.fields)
+
     def to_client(self) -> Answer:
         """The answer as it goes to the client."""
         return Answer(self.status, self.reason, self.headers, self.body)
 
 
+def _proves_not_run(status: int, fields: Mapping[bytes, bytes]) -> bool:
+    return NOT_RUN_HEADER in fields or status == MISDIRECTED
+
+
 class EndpointConnection(asyncio.Protocol):
     """One connection to an endpoint.
 
@@ -258,8 +268,7 @@
             or request.method == b"HEAD"
         )
         id = fields.get(b"attempt-id")
-        not_run = b"not-run" in fields or head.status_code == MISDIRECTED
-        if id is None and not_run:
+        if id is None and _proves_not_run(head.status_code, fields):
             if self._carried > 1 and not request.route.pure:
                 self._fail("a refusal without an id, perhaps of a request before this one")
                 return False
--- a/stagevale/forwarding/forwarder.py
+++ b/stagevale/forwarding/forwarder.py
@@ -40,6 +40,7 @@
 # An endpoint that couldn't be reached, or broke off, rests for so small a part of `contactMs`.
 UNREACHABLE_RESTS_PER_CONTACT = 8.0
 BROKEN_RESTS_PER_CONTACT = 10.0
+# Beside zones a proxy reports how many requests were retried, under this name.
 RETRIES = "again"
 
 
--- a/stagevale/singleton/node.py
+++ b/stagevale/singleton/node.py
@@ -2,6 +2,7 @@
 leads, it holds the role and reports usage.
 """
 
+import http
 from collections.abc import Callable
 from typing import Any
 
@@ -26,7 +27,7 @@
 
 # The role's name in the settings and on the status page.
 USAGE_ROLE = "usage_report"
-NOT_FOUND = 404
+NOT_FOUND = http.HTTPStatus.NOT_FOUND.value
 HEARTBEATS_PER_CONTACT = 2.0
 CYCLES_PER_CONTACT = 8.0
 # In heartbeat intervals: how long the first voter bears the holder's silence, and how much longer
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -16,6 +16,7 @@
 
 from stagevale.discovery.instance import Instance, InstanceState
 from stagevale.discovery.instance_table import InstanceTable
+from stagevale.discovery.registry_service import RegistryService
 from stagevale.membership import vector_clock
 from stagevale.membership.gossip_state import GossipState, Handoff, HandoffStatus, merge_states
 from stagevale.membership.member import Dot, Member, MemberState
@@ -330,3 +331,35 @@
     assert len(told) + len(fleet.registries[5].service.feeds.subscribers) == 36
     assert sum(heard) >= len(told)
     assert len(heard) < 20
+
+
+def looks_at_the_core_in_a_round(proxies, monkeypatch):
+    """How often the registries of a fleet ask whether they reach a majority, for each round."""
+    counts = {"reaches_majority": 0, "_tick": 0}
+
+    def counted(name, method):
+        def call(service):
+            counts[name] += 1
+            return method(service)
+
+        return call
+
+    with monkeypatch.context() as patch:
+        for name in counts:
+            patch.setattr(RegistryService, name, counted(name, getattr(RegistryService, name)))
+        fleet = Fleet(5, proxies)
+        registries = fleet.registries.values()
+        assert fleet.world.until(lambda: fleet.formed(12 + proxies), 25000)
+        assert fleet.world.until(
+            lambda: sum(len(each.service.feeds.subscribers) for each in registries) == proxies,
+            9000,
+        )
+        counts.update(dict.fromkeys(counts, 0))
+        fleet.world.run(6000)
+    return counts["reaches_majority"] / counts["_tick"]
+
+
+def test_a_round_looks_at_the_core_as_often_however_many_proxies_are_fed(monkeypatch):
+    few = looks_at_the_core_in_a_round(3, monkeypatch)
+    many = looks_at_the_core_in_a_round(12, monkeypatch)
+    assert few == many
