--- a/stagevale/rollouts/command_handlers.py
+++ b/stagevale/rollouts/command_handlers.py
@@ -56,7 +56,7 @@
     rejection = _rejection(service, document, before)
     if rejection is not None:
         return rejection
-    rollout = Rollout.from_row(
+    rollout = Rollout(
         {
             "service": service,
             "version": document["version"],
--- a/stagevale/rollouts/rollout.py
+++ b/stagevale/rollouts/rollout.py
@@ -63,6 +63,7 @@
     )
 
     def __init__(self, row: Mapping[str, Any]) -> None:
+        """A rollout out of its row, as `to_row` gives it."""
         self.service: str = row["service"]
         self.version: int = row["version"]
         self.stable: str = row["from"]
@@ -77,11 +78,6 @@
         self.reason: str = row.get("reason") or ""
         self.fingerprint: str = row.get("hashed") or ""
 
-    @classmethod
-    def from_row(cls, row: Mapping[str, Any]) -> "Rollout":
-        """A rollout out of its row, as `to_row` gives it."""
-        return cls(row)
-
     @classmethod
     def from_json(cls, text: str) -> "Rollout":
         """A rollout out of its text in the configuration value."""
