--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -169,6 +169,22 @@
         self.world.disks[f"sessions 10.0.0.{number + 1}"] = MemoryLog()
         self.world.disks[f"duties 10.0.0.{number + 1}"] = MemoryDisk()
 
+    def lose_power(self, wiped=(), pause_ms=800):
+        """All machines lose power at once, some of them their disks too; they start again after a
+        pause.
+        """
+        for number in self.registries:
+            self.kill_core(number)
+        for proxy in self.proxies.values():
+            self.world.kill(proxy.context)
+        for number in wiped:
+            self.wipe(number)
+        self.world.run(pause_ms)
+        for number in list(self.registries):
+            self.start_core(number, False)
+        for number in list(self.proxies):
+            self.start_proxy(number)
+
     def daemons(self):
         return [
             daemon
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -441,15 +441,7 @@
         day.send(site, key, session=key)
     assert day.world.until(lambda: all(day.ran(key) for key in under_way), 2000, 5)
 
-    for number in range(6):
-        day.fleet.kill_core(number)
-        day.world.kill(day.fleet.proxies[number].context)
-    for number in lost:
-        day.fleet.wipe(number)
-    day.world.run(800)
-    for number in range(6):
-        day.fleet.start_core(number, False)
-        day.fleet.start_proxy(number)
+    day.fleet.lose_power(wiped=lost)
     day.world.run(15000)
 
     statuses = {}
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.endpoints import status_of
-from support.fleet import Fleet
+from support.fleet import Fleet, number_of
 
 PLATFORM = ("10.8.0.1", 80)
 DUTIES = '\n[platform]\naddress = "10.8.0.1:80"\nduties = ["usage_report"]\ndutyPerS = 50\n'
@@ -182,15 +182,7 @@
     days.world.run(10000)
     days.world.run(5000 - (1.7e12 + days.world.env.now) % 5000 + 2500)
     days.busy, ended = False, days.window() - 1
-    for number in range(6):
-        days.fleet.kill_core(number)
-    for proxy in days.fleet.proxies.values():
-        days.world.kill(proxy.context)
-    days.world.run(1000)
-    for number in range(6):
-        days.fleet.start_core(number, False)
-    for number in list(days.fleet.proxies):
-        days.fleet.start_proxy(number)
+    days.fleet.lose_power(pause_ms=1000)
     days.world.run(15000)
     days.near(days.platform.check(), windows=[ended])
 
@@ -327,7 +319,7 @@
     days.world.run(9000)
     fences = [days.duty().committed.fencing_token]
     group = days.duty().committed.group
-    lost = [int(address.split(":")[0].split(".")[-1]) - 1 for address in group[:2]]
+    lost = [number_of(voter) for voter in group[:2]]
     for number in range(6):
         days.fleet.kill_core(number)
     for number in lost:
@@ -350,20 +342,10 @@
     assert days.world.until(lambda: days.holder() is not None and STEPS[step](days), 12000, 1)
     holder = days.holder()
     committed = days.duty().committed
-    voters = [int(address.split(":")[0].split(".")[-1]) - 1 for address in committed.group]
+    voters = [number_of(voter) for voter in committed.group]
     lost = [holder, next(number for number in voters if number != holder)]
 
-    for number in range(6):
-        days.fleet.kill_core(number)
-    for number in list(days.fleet.proxies):
-        days.world.kill(days.fleet.proxies[number].context)
-    for number in lost:
-        days.fleet.wipe(number)
-    days.world.run(800)
-    for number in range(6):
-        days.fleet.start_core(number, False)
-    for number in list(days.fleet.proxies):
-        days.fleet.start_proxy(number)
+    days.fleet.lose_power(wiped=lost)
 
     assert days.world.until(lambda: days.holder() is not None, 25000)
     assert days.duty().committed.fencing_token > committed.fencing_token
